--- a/grebedeck-gateway/src/answer.rs
+++ b/grebedeck-gateway/src/answer.rs
@@ -1,6 +1,6 @@
 //! What a target's answer, or the lack of one, says of a request.
 
-use crate::site::Kind;
+use crate::site::RequestKind;
 
 /// Whether a request has run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -49,7 +49,7 @@
 }
 
 /// Tells whether a request may be sent to a target again.
-pub fn may_send_again(kind: Kind, run: RunState) -> bool {
+pub fn may_send_again(kind: RequestKind, run: RunState) -> bool {
     run == RunState::NotRun || kind.is_repeatable()
 }
 
--- a/grebedeck-gateway/src/coordinator.rs
+++ b/grebedeck-gateway/src/coordinator.rs
@@ -17,7 +17,7 @@
 /// Partitions of the targets.
 pub const PARTITIONS: usize = 8;
 /// How long a list of gateways may take to reach all of them: each reads it every 10 s, and some of them a call late.
-pub const SETTLE: Duration = Duration::from_secs(15);
+pub const SETTLE_TIME: Duration = Duration::from_secs(15);
 /// Asks in a row that a silent gateway leaves unanswered: a single datagram may be lost.
 const MAX_MISSES: u32 = 2;
 /// How long a silent gateway is not asked, after each time that it left an ask unanswered.
@@ -93,7 +93,7 @@
 
         if is_first {
             // Its row was there before it started, so the others know it.
-            let from = if self.was_missing { now + SETTLE } else { now };
+            let from = if self.was_missing { now + SETTLE_TIME } else { now };
             self.settled_from = [Some(from); PARTITIONS];
         }
 
@@ -111,14 +111,14 @@
     }
 
     /// Gets the part of a limit that this gateway may give out.
-    pub fn part(&self, partition: Partition, now: Moment) -> f64 {
+    pub fn limit_fraction(&self, partition: Partition, now: Moment) -> f64 {
         let is_settled = self.settled_from[partition].is_some_and(|from| now >= from);
 
         if is_settled { 1.0 } else { UNSETTLED_PART }
     }
 
     /// Tells whether this gateway coordinates a partition, for all that it knows.
-    pub fn leads(&self, partition: Partition) -> bool {
+    pub fn is_coordinator(&self, partition: Partition) -> bool {
         let is_heard = |gateway: &&GatewayAddress| {
             self.silent.get(*gateway).is_none_or(|silence| !silence.is_silent())
         };
@@ -127,7 +127,7 @@
     }
 
     /// Notes that a gateway did not answer; tells whether it is silent since then.
-    pub fn missed(&mut self, gateway: GatewayAddress, now: Moment) -> bool {
+    pub fn record_timeout(&mut self, gateway: GatewayAddress, now: Moment) -> bool {
         let silence = self.silent.entry(gateway).or_default();
         silence.misses = silence.misses.saturating_add(1);
         let (is_silent, is_new) = (silence.is_silent(), silence.misses == MAX_MISSES);
@@ -142,7 +142,7 @@
     }
 
     /// Notes that a gateway answered; tells whether it was silent before.
-    pub fn answered(&mut self, gateway: GatewayAddress, now: Moment) -> bool {
+    pub fn record_answer(&mut self, gateway: GatewayAddress, now: Moment) -> bool {
         let was_silent = self.silent.remove(&gateway).is_some_and(Silence::is_silent);
 
         if was_silent {
@@ -167,11 +167,11 @@
 
     fn update_leads(&mut self, now: Moment) {
         for partition in 0..PARTITIONS {
-            let leads = self.is_listed && self.leads(partition);
+            let leads = self.is_listed && self.is_coordinator(partition);
             let settled_from = &mut self.settled_from[partition];
 
             if leads {
-                settled_from.get_or_insert(now + SETTLE);
+                settled_from.get_or_insert(now + SETTLE_TIME);
             } else {
                 *settled_from = None;
             }
--- a/grebedeck-gateway/src/evacuation.rs
+++ b/grebedeck-gateway/src/evacuation.rs
@@ -22,17 +22,17 @@
 /// Halls of which a word is kept; some times as many as an operator has.
 pub const MAX_HALLS: usize = 512;
 /// Longest name of a hall, in bytes; the store's keys are no longer.
-pub const MAX_HALL_BYTES: usize = 200;
+pub const MAX_HALL_NAME_BYTES: usize = 200;
 /// Time from the operators' request until nothing new may reach a hall, where the settings do not say; the
 /// shortest that is known of a platform.
-pub const DEFAULT_BOUND: Duration = Duration::from_millis(5000);
+pub const DEFAULT_EVACUATION_BOUND: Duration = Duration::from_millis(5000);
 /// Part of the bound in which a hall's targets leave. The rest is for news that come by a peer and for requests that
 /// are on their way: a store that turns a gateway away is noticed within some two seconds, a connection takes 0.3.
 const RAMP_PART: u32 = 3;
 
 /// A word on a hall, as gateways tell it each other.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HallWord {
+pub struct HallStatus {
     /// The hall.
     pub hall: HallName,
     /// The store's version of the word.
@@ -45,13 +45,15 @@
 
 /// All words that a gateway has.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HallWords {
+pub struct HallStatuses {
     /// The version up to which they hold, 0 where nothing is known yet.
     pub version: StoreVersion,
     /// Whether no hall was left out for lack of room.
-    pub is_whole: bool,
+    #[serde(rename = "is_whole")]
+    pub is_complete: bool,
     /// The words.
-    pub words: Vec<HallWord>,
+    #[serde(rename = "words")]
+    pub statuses: Vec<HallStatus>,
 }
 
 /// What news changed.
@@ -65,14 +67,14 @@
         version: StoreVersion,
     },
     /// A hall takes requests again.
-    TakenBack {
+    Reopened {
         /// The hall.
         hall: HallName,
         /// The store's version of the word.
         version: StoreVersion,
     },
     /// There is no room to keep a word on a hall.
-    LeftOut {
+    Dropped {
         /// The hall.
         hall: HallName,
         /// The store's version of the word.
@@ -99,7 +101,7 @@
 pub struct Evacuations {
     known: BTreeMap<HallName, Known>,
     version: StoreVersion,
-    is_whole: bool,
+    is_complete: bool,
     ramp: Duration,
 }
 
@@ -108,8 +110,8 @@
         Evacuations {
             known: BTreeMap::new(),
             version: 0,
-            is_whole: true,
-            ramp: DEFAULT_BOUND / RAMP_PART,
+            is_complete: true,
+            ramp: DEFAULT_EVACUATION_BOUND / RAMP_PART,
         }
     }
 }
@@ -122,7 +124,7 @@
 
     /// Takes in all halls that the store names; gives what changed. What is new may be as old as `since`, the last
     /// moment at which all was known.
-    pub fn take_snapshot(
+    pub fn apply_snapshot(
         &mut self,
         version: StoreVersion,
         halls: &[HallName],
@@ -135,7 +137,7 @@
 
         let named: HashSet<&HallName> = halls.iter().collect();
         let mut events = self.take_back_others(version, &named, now);
-        self.is_whole = true;
+        self.is_complete = true;
 
         for hall in halls {
             events.extend(self.note(hall, version, true, since, now));
@@ -145,8 +147,8 @@
         events
     }
 
-    /// Takes in one change; gives what it changed. [`Evacuations::known_up_to`] follows the last one of an answer.
-    pub fn take_change(
+    /// Takes in one change; gives what it changed. [`Evacuations::advance_to`] follows the last one of an answer.
+    pub fn apply_change(
         &mut self,
         version: StoreVersion,
         hall: &HallName,
@@ -157,12 +159,12 @@
     }
 
     /// Notes that all changes up to a version are known.
-    pub fn known_up_to(&mut self, version: StoreVersion) {
+    pub fn advance_to(&mut self, version: StoreVersion) {
         self.version = self.version.max(version);
     }
 
     /// Gets the words for other gateways.
-    pub fn words(&self, now: Moment) -> HallWords {
+    pub fn statuses(&self, now: Moment) -> HallStatuses {
         let word = |(hall, known): (&HallName, &Known)| {
             let (is_evacuated, at) = match known.state {
                 HallState::Evacuated(since) => (true, since),
@@ -170,28 +172,28 @@
             };
             let age_ms = at.map(|at| now.saturating_sub(at).as_millis() as u64);
 
-            HallWord { hall: hall.clone(), version: known.version, is_evacuated, age_ms }
+            HallStatus { hall: hall.clone(), version: known.version, is_evacuated, age_ms }
         };
-        let words = self.known.iter().map(word).collect();
+        let statuses = self.known.iter().map(word).collect();
 
-        HallWords { version: self.version, is_whole: self.is_whole, words }
+        HallStatuses { version: self.version, is_complete: self.is_complete, statuses }
     }
 
     /// Takes in what another gateway knows; gives what changed.
-    pub fn take_words(&mut self, told: &HallWords, now: Moment) -> Vec<HallEvent> {
+    pub fn merge(&mut self, told: &HallStatuses, now: Moment) -> Vec<HallEvent> {
         let mut events = Vec::new();
         // A word that a hall was taken back may be older than what is known here, and the hall free all the same.
-        let evacuated = told.words.iter().filter(|word| word.is_evacuated);
+        let evacuated = told.statuses.iter().filter(|word| word.is_evacuated);
         let named: HashSet<&HallName> = evacuated.map(|word| &word.hall).collect();
 
-        for word in told.words.iter().take(MAX_HALLS) {
+        for word in told.statuses.iter().take(MAX_HALLS) {
             let age = word.age_ms.map(Duration::from_millis);
             // What is older than this process has no moment.
             let since = age.and_then(|age| now.checked_sub(age));
             events.extend(self.note(&word.hall, word.version, word.is_evacuated, since, now));
         }
 
-        if told.is_whole && told.version > self.version {
+        if told.is_complete && told.version > self.version {
             events.extend(self.take_back_others(told.version, &named, now));
             self.version = told.version;
         }
@@ -200,7 +202,7 @@
     }
 
     /// Tells whether a target gets nothing new.
-    pub fn stops(&self, target: &TargetEntry, now: Moment) -> bool {
+    pub fn excludes(&self, target: &TargetEntry, now: Moment) -> bool {
         let Some(known) = self.known.get(&target.hall) else {
             return false;
         };
@@ -216,7 +218,7 @@
     }
 
     /// Gets when a hall was taken back, if it was while this process runs.
-    pub fn returned_at(&self, hall: &str) -> Option<Moment> {
+    pub fn reopened_at(&self, hall: &str) -> Option<Moment> {
         match self.known.get(hall)?.state {
             HallState::TakenBack { at, .. } => at,
             HallState::Evacuated(_) => None,
@@ -236,7 +238,7 @@
     }
 
     /// Tells whether some target may have left or returned between two moments.
-    pub fn moves_between(&self, from: Moment, to: Moment) -> bool {
+    pub fn has_transition_between(&self, from: Moment, to: Moment) -> bool {
         self.known.values().any(|known| match known.state {
             HallState::Evacuated(at) | HallState::TakenBack { at, .. } => {
                 at.is_some_and(|at| from <= at + self.ramp && at <= to)
@@ -267,8 +269,8 @@
 
         if before.is_none() && !self.has_room(hall, is_evacuated) {
             // Who does not know that a hall was evacuated need not know that it was taken back.
-            self.is_whole &= !is_evacuated;
-            return is_evacuated.then(|| HallEvent::LeftOut { hall: hall.clone(), version });
+            self.is_complete &= !is_evacuated;
+            return is_evacuated.then(|| HallEvent::Dropped { hall: hall.clone(), version });
         }
 
         let state = next_state(before.map(|(_, state)| state), is_evacuated, since, now, self.ramp);
@@ -278,7 +280,7 @@
 
         match (was_evacuated, is_evacuated) {
             (false, true) => Some(HallEvent::Evacuated { hall, version }),
-            (true, false) => Some(HallEvent::TakenBack { hall, version }),
+            (true, false) => Some(HallEvent::Reopened { hall, version }),
             _ => None,
         }
     }
@@ -299,7 +301,7 @@
 
     /// Makes room for one more hall; tells whether there is.
     fn has_room(&mut self, hall: &str, is_evacuated: bool) -> bool {
-        if hall.is_empty() || hall.len() > MAX_HALL_BYTES {
+        if hall.is_empty() || hall.len() > MAX_HALL_NAME_BYTES {
             return false;
         }
 
--- a/grebedeck-gateway/src/feed.rs
+++ b/grebedeck-gateway/src/feed.rs
@@ -16,18 +16,18 @@
 const MAX_CHANGES: usize = 4096;
 
 /// State that follows from its changes.
-pub trait Fold: Clone {
+pub trait ApplyChange: Clone {
     /// One change.
     type Change: Clone;
 
     /// Puts a change into the state.
-    fn fold(&mut self, change: Self::Change);
+    fn apply(&mut self, change: Self::Change);
 }
 
-impl Fold for OperatorState {
+impl ApplyChange for OperatorState {
     type Change = OperatorChange;
 
-    fn fold(&mut self, change: OperatorChange) {
+    fn apply(&mut self, change: OperatorChange) {
         match change {
             OperatorChange::Site(site) => self.site = Some(site),
             OperatorChange::Evacuated { hall, .. } => {
@@ -35,7 +35,7 @@
                     self.evacuated.push(hall);
                 }
             }
-            OperatorChange::TakenBack { hall, .. } => self.evacuated.retain(|other| *other != hall),
+            OperatorChange::Reopened { hall, .. } => self.evacuated.retain(|other| *other != hall),
             OperatorChange::Unreadable(what) => {
                 self.unreadable.retain(|other| other.key != what.key);
                 self.unreadable.push(what);
@@ -44,10 +44,10 @@
     }
 }
 
-impl Fold for TargetListing {
+impl ApplyChange for TargetListing {
     type Change = TargetChange;
 
-    fn fold(&mut self, change: TargetChange) {
+    fn apply(&mut self, change: TargetChange) {
         match change {
             TargetChange::Set(listed) => {
                 self.remove(&listed.entry.id);
@@ -76,7 +76,7 @@
 
 /// What was read last, and the changes since.
 #[derive(Clone, Debug)]
-pub struct Feed<T: Fold> {
+pub struct Feed<T: ApplyChange> {
     state: FeedState,
     /// The state as of the changes that are not kept any more.
     base: Option<Snapshot<T>>,
@@ -86,7 +86,7 @@
     confirmed_at: Moment,
 }
 
-impl<T: Fold> Default for Feed<T> {
+impl<T: ApplyChange> Default for Feed<T> {
     fn default() -> Self {
         Feed {
             state: FeedState::Empty,
@@ -98,7 +98,7 @@
     }
 }
 
-impl<T: Fold> Feed<T> {
+impl<T: ApplyChange> Feed<T> {
     /// Notes the whole state, as the store has it.
     pub fn replace(&mut self, snapshot: Snapshot<T>, now: Moment) {
         self.confirm(now);
@@ -119,11 +119,11 @@
         };
         self.version = *version;
         self.changes.extend(changes.iter().map(|change| (*version, change.clone())));
-        self.fold_oldest();
+        self.compact();
     }
 
     /// Notes that a call to the store has failed.
-    pub fn fail(&mut self) {
+    pub fn mark_stale(&mut self) {
         self.state = FeedState::Stale;
     }
 
@@ -148,14 +148,14 @@
         snapshot.version = self.version;
 
         for (_, change) in &self.changes {
-            snapshot.value.fold(change.clone());
+            snapshot.value.apply(change.clone());
         }
 
         Some(snapshot)
     }
 
     /// Gets the changes after a version.
-    pub fn since(&self, after: StoreVersion) -> Watched<T::Change> {
+    pub fn changes_after(&self, after: StoreVersion) -> Watched<T::Change> {
         match &self.base {
             Some(base) if after >= base.version => {}
             _ => return Watched::HistoryGone,
@@ -176,7 +176,7 @@
     }
 
     /// Puts the oldest changes into the state, where there are too many. Changes of one version stay together.
-    fn fold_oldest(&mut self) {
+    fn compact(&mut self) {
         let Some(base) = &mut self.base else {
             return;
         };
@@ -188,7 +188,7 @@
                 return;
             };
             base.version = version;
-            base.value.fold(change);
+            base.value.apply(change);
         }
     }
 }
--- a/grebedeck-gateway/src/lib.rs
+++ b/grebedeck-gateway/src/lib.rs
@@ -36,21 +36,22 @@
 pub use choice::chooser_options;
 pub use cold::{ColdGate, ColdPart};
 pub use coordinator::Coordinators;
-pub use evacuation::{Evacuations, HallEvent, HallWord, HallWords};
+pub use evacuation::{Evacuations, HallEvent, HallStatus, HallStatuses};
 pub use events::{Event, EventBuffer};
-pub use feed::{Feed, FeedState, Fold};
+pub use feed::{ApplyChange, Feed, FeedState};
 pub use limit::{Limits, Permit};
 pub use outage::{Availability, Outage, OutageOptions};
 pub use pacing::{Pacing, PacingOptions, PromptRate};
 pub use patience::{Patience, PatienceOptions};
 pub use quota::{QuotaLedger, QuotaMessage};
 pub use refusals::Refusals;
-pub use relay::{RelayOptions, Relays, Source};
+pub use relay::{RelayOptions, RelaySelector, Source};
 pub use rest::Rest;
 pub use retry::{WindowBudget, WindowOptions};
 pub use routes::{Admitted, Denied, RouteTable};
 pub use site::{
-    CallerLimits, EngineSpec, Kind, Organisation, RouteRule, ServiceSpec, Site, Weighted,
+    CallerLimits, EngineSpec, Organisation, RequestKind, RouteRule, ServiceSpec, Site,
+    WeightedService,
 };
 pub use source::{
     GatewayEntry, GatewayInfo, GatewayListing, OperatorChange, OperatorState, SiteStore, Snapshot,
--- a/grebedeck-gateway/src/limit.rs
+++ b/grebedeck-gateway/src/limit.rs
@@ -36,12 +36,12 @@
 
 /// When something was heard of, which may have been before this process began.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct HeardAt(Moment);
+pub struct LearnedAt(Moment);
 
-impl HeardAt {
+impl LearnedAt {
     /// Makes the moment that is some time ago.
     pub fn ago(age: Duration, now: Moment) -> Self {
-        HeardAt((now + OLDEST).saturating_sub(age))
+        LearnedAt((now + OLDEST).saturating_sub(age))
     }
 
     /// Gets how long ago it was.
@@ -52,7 +52,7 @@
 
 /// What an answer says of its target's limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum NamedLimit {
+pub enum AnnouncedLimit {
     /// Nothing, so there is none.
     Absent,
     /// The requests a second that the target takes.
@@ -62,14 +62,14 @@
 }
 
 /// Reads what an answer says of its target's limit from the values of its header; the lowest of them holds.
-pub fn named_limit<'a>(values: impl Iterator<Item = &'a [u8]>) -> NamedLimit {
+pub fn announced_limit<'a>(values: impl Iterator<Item = &'a [u8]>) -> AnnouncedLimit {
     let read = values.map(parse_limit);
 
-    read.fold(NamedLimit::Absent, |named, value| match (named, value) {
-        (NamedLimit::PerS(before), Some(per_s)) => NamedLimit::PerS(before.min(per_s)),
-        (NamedLimit::PerS(before), None) => NamedLimit::PerS(before),
-        (_, Some(per_s)) => NamedLimit::PerS(per_s),
-        (_, None) => NamedLimit::Unreadable,
+    read.fold(AnnouncedLimit::Absent, |named, value| match (named, value) {
+        (AnnouncedLimit::PerS(before), Some(per_s)) => AnnouncedLimit::PerS(before.min(per_s)),
+        (AnnouncedLimit::PerS(before), None) => AnnouncedLimit::PerS(before),
+        (_, Some(per_s)) => AnnouncedLimit::PerS(per_s),
+        (_, None) => AnnouncedLimit::Unreadable,
     })
 }
 
@@ -99,7 +99,7 @@
     birth: Birth,
     per_s: Option<RatePerS>,
     /// When the limit, or its end, was heard of last.
-    heard_at: Option<HeardAt>,
+    learned_at: Option<LearnedAt>,
     /// Since when there is a limit.
     since: Moment,
     /// Requests sent since then.
@@ -170,18 +170,18 @@
     pub fn observe(
         &mut self,
         target: &TargetEntry,
-        named: NamedLimit,
+        named: AnnouncedLimit,
         is_good: bool,
         sent_at: Moment,
         now: Moment,
     ) -> LimitChange {
         match named {
-            NamedLimit::Absent if !is_good => LimitChange::None,
-            NamedLimit::Absent => self.observe_absent(target, sent_at, now),
-            NamedLimit::PerS(per_s) => {
-                self.set(target, per_s, HeardAt::ago(Duration::ZERO, now), now)
+            AnnouncedLimit::Absent if !is_good => LimitChange::None,
+            AnnouncedLimit::Absent => self.observe_absent(target, sent_at, now),
+            AnnouncedLimit::PerS(per_s) => {
+                self.set(target, per_s, LearnedAt::ago(Duration::ZERO, now), now)
             }
-            NamedLimit::Unreadable => {
+            AnnouncedLimit::Unreadable => {
                 let known = self.known(target);
                 let was_unreadable = std::mem::replace(&mut known.is_unreadable, true);
 
@@ -215,7 +215,7 @@
 
     /// Tells whether a request with a permit may still be sent, and counts it. The limit may have been heard of since the
     /// permit was taken, or the permit has lapsed; then another one is taken.
-    pub fn send(&mut self, target: &TargetEntry, permit: Permit, now: Moment) -> bool {
+    pub fn confirm_send(&mut self, target: &TargetEntry, permit: Permit, now: Moment) -> bool {
         let Some(known) = self.limited_mut(target) else {
             return true;
         };
@@ -254,7 +254,7 @@
                 target: id.clone(),
                 birth: known.birth,
                 limit: known.per_s,
-                heard_ago: known.heard_at.map_or(OLDEST, |at| at.age(now)),
+                limit_age: known.learned_at.map_or(OLDEST, |at| at.age(now)),
                 wanted,
                 unused: known.release_permits(now),
             })
@@ -273,12 +273,12 @@
         now: Moment,
     ) -> LimitChange {
         // Counted from the ask, which errs towards older news.
-        let heard_at = HeardAt::ago(grant.heard_ago, asked_at);
+        let learned_at = LearnedAt::ago(grant.limit_age, asked_at);
         let known = self.known(target);
-        let is_newer = Some(heard_at) > known.heard_at;
+        let is_newer = Some(learned_at) > known.learned_at;
         let change = match grant.limit {
-            Some(per_s) if is_newer => self.set(target, per_s, heard_at, now),
-            None if is_newer && known.per_s.is_some() => self.end(target, heard_at, now),
+            Some(per_s) if is_newer => self.set(target, per_s, learned_at, now),
+            None if is_newer && known.per_s.is_some() => self.end(target, learned_at, now),
             _ => LimitChange::None,
         };
 
@@ -315,7 +315,7 @@
     /// Forgets targets whose limits ended long ago.
     pub fn forget_ended(&mut self, now: Moment) {
         self.targets.retain(|_, known| {
-            let is_recent = known.heard_at.is_some_and(|at| at.age(now) < END_MEMORY);
+            let is_recent = known.learned_at.is_some_and(|at| at.age(now) < END_MEMORY);
 
             known.per_s.is_some() || known.is_unreadable || is_recent
         });
@@ -335,20 +335,20 @@
         sent_at: Moment,
         now: Moment,
     ) -> LimitChange {
-        let sent_at = HeardAt::ago(Duration::ZERO, sent_at);
-        let was_sent_since = |known: &Known| Some(sent_at) >= known.heard_at;
+        let sent_at = LearnedAt::ago(Duration::ZERO, sent_at);
+        let was_sent_since = |known: &Known| Some(sent_at) >= known.learned_at;
 
         if self.limited(target).is_some_and(was_sent_since) {
-            self.end(target, HeardAt::ago(Duration::ZERO, now), now)
+            self.end(target, LearnedAt::ago(Duration::ZERO, now), now)
         } else {
             LimitChange::None
         }
     }
 
-    fn end(&mut self, target: &TargetEntry, heard_at: HeardAt, now: Moment) -> LimitChange {
+    fn end(&mut self, target: &TargetEntry, learned_at: LearnedAt, now: Moment) -> LimitChange {
         let known = self.known(target);
         known.per_s = None;
-        known.heard_at = Some(heard_at);
+        known.learned_at = Some(learned_at);
         known.permits.clear();
         known.rate = None;
         known.publish_until = now + PUBLISH_FOR;
@@ -360,12 +360,12 @@
         &mut self,
         target: &TargetEntry,
         per_s: RatePerS,
-        heard_at: HeardAt,
+        learned_at: LearnedAt,
         now: Moment,
     ) -> LimitChange {
         let known = self.known(target);
         let before = known.per_s.replace(per_s);
-        known.heard_at = Some(heard_at);
+        known.learned_at = Some(learned_at);
 
         if before == Some(per_s) {
             return LimitChange::None;
--- a/grebedeck-gateway/src/quota.rs
+++ b/grebedeck-gateway/src/quota.rs
@@ -20,7 +20,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::coordinator::GatewayAddress;
-use crate::limit::{HeardAt, MAX_LIMIT_PER_S, MIN_LIMIT_PER_S, RatePerS};
+use crate::limit::{LearnedAt, MAX_LIMIT_PER_S, MIN_LIMIT_PER_S, RatePerS};
 use crate::targets::TargetId;
 
 /// How long a permit is good for, from when it was asked for: longer than the time between two asks.
@@ -49,13 +49,13 @@
 
 /// Requests of one gateway for a service, as it asks for permits.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Demand {
+pub struct DemandCounter {
     window_began: Moment,
     now: u32,
     before: u32,
 }
 
-impl Demand {
+impl DemandCounter {
     /// Notes a request.
     pub fn record(&mut self, now: Moment) {
         self.pass(now);
@@ -89,7 +89,8 @@
     /// The limit that it named last; none if it named none.
     pub limit: Option<RatePerS>,
     /// How long ago it was heard of.
-    pub heard_ago: Duration,
+    #[serde(rename = "heard_ago")]
+    pub limit_age: Duration,
     /// Requests of the last second that might go there.
     pub wanted: u32,
     /// Permits that are given back.
@@ -106,7 +107,8 @@
     /// The limit that it named last, to whichever gateway; none if it named none.
     pub limit: Option<RatePerS>,
     /// How long ago that gateway heard of it.
-    pub heard_ago: Duration,
+    #[serde(rename = "heard_ago")]
+    pub limit_age: Duration,
     /// Requests that may be sent.
     pub permits: u32,
     /// Requests a second that the gateway may expect.
@@ -150,7 +152,7 @@
 #[derive(Clone, Debug)]
 struct Account {
     limit: Option<RatePerS>,
-    heard_at: Option<HeardAt>,
+    learned_at: Option<LearnedAt>,
     /// Permits that nobody has got yet.
     saved: f64,
     saved_at: Moment,
@@ -162,7 +164,7 @@
     fn new(now: Moment) -> Self {
         Account {
             limit: None,
-            heard_at: None,
+            learned_at: None,
             saved: 1.0,
             saved_at: now,
             asked_at: now,
@@ -173,13 +175,13 @@
     /// Records a request; tells whether the target has a limit since then, or none any more.
     fn record(&mut self, from: GatewayAddress, demand: &QuotaDemand, now: Moment) -> bool {
         let was_limited = self.limit.is_some();
-        let heard_at = Some(HeardAt::ago(demand.heard_ago, now));
+        let learned_at = Some(LearnedAt::ago(demand.limit_age, now));
         self.asked_at = now;
 
-        if heard_at > self.heard_at {
+        if learned_at > self.learned_at {
             let bounded = |per_s: RatePerS| per_s.clamp(MIN_LIMIT_PER_S, MAX_LIMIT_PER_S);
             self.limit = demand.limit.filter(|per_s| per_s.is_finite()).map(bounded);
-            self.heard_at = heard_at;
+            self.learned_at = learned_at;
         }
 
         let reserved = self.claims.get(&from).map_or(0, |claim| claim.reserved);
@@ -189,8 +191,8 @@
         was_limited != self.limit.is_some()
     }
 
-    fn heard_ago(&self, now: Moment) -> Duration {
-        self.heard_at.map_or(Duration::ZERO, |at| at.age(now))
+    fn limit_age(&self, now: Moment) -> Duration {
+        self.learned_at.map_or(Duration::ZERO, |at| at.age(now))
     }
 
     /// Gets the part of all that is wanted that one gateway wants.
@@ -314,7 +316,7 @@
                 target: demand.target.clone(),
                 birth: demand.birth,
                 limit: account.limit,
-                heard_ago: account.heard_ago(now),
+                limit_age: account.limit_age(now),
                 permits,
                 rate,
             });
@@ -357,7 +359,7 @@
                 target: key.0,
                 birth: key.1,
                 limit: account.limit,
-                heard_ago: account.heard_ago(now),
+                limit_age: account.limit_age(now),
                 permits: 0,
                 rate: 0.0,
             });
--- a/grebedeck-gateway/src/reader.rs
+++ b/grebedeck-gateway/src/reader.rs
@@ -6,7 +6,7 @@
 
 /// What became of the last write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Waiting {
+pub enum WriteWait {
     /// It may be waited for this long.
     For(Duration),
     /// The peer has taken nothing for too long.
@@ -17,32 +17,32 @@
 
 /// A peer that reads.
 #[derive(Clone, Debug)]
-pub struct Reader {
+pub struct WriteTimeouts {
     limit: Duration,
     until: Moment,
     took_at: Moment,
 }
 
-impl Reader {
+impl WriteTimeouts {
     /// Makes a peer that is given up when it takes nothing for `limit`, and at `until` in any case.
     pub fn new(limit: Duration, until: Moment, now: Moment) -> Self {
-        Reader { limit, until, took_at: now }
+        WriteTimeouts { limit, until, took_at: now }
     }
 
     /// Notes that the peer has taken some bytes.
-    pub fn took(&mut self, now: Moment) {
+    pub fn record_progress(&mut self, now: Moment) {
         self.took_at = now;
     }
 
     /// Tells how long it may be waited for.
-    pub fn waiting(&self, now: Moment) -> Waiting {
+    pub fn remaining(&self, now: Moment) -> WriteWait {
         if now >= self.until {
-            return Waiting::TimedOut;
+            return WriteWait::TimedOut;
         }
 
         match self.limit.saturating_sub(now - self.took_at) {
-            Duration::ZERO => Waiting::Stalled,
-            left => Waiting::For(left.min(self.until - now)),
+            Duration::ZERO => WriteWait::Stalled,
+            left => WriteWait::For(left.min(self.until - now)),
         }
     }
 }
--- a/grebedeck-gateway/src/relay.rs
+++ b/grebedeck-gateway/src/relay.rs
@@ -23,22 +23,22 @@
 #[derive(Clone, Copy, Debug)]
 pub struct RelayOptions {
     /// Gateways of a hall up to which each reads the store: a relay would save next to nothing.
-    pub direct_up_to: usize,
+    pub max_direct_gateways: usize,
     /// How long a relay that failed is passed over.
-    pub pass_over: Duration,
+    pub failure_backoff: Duration,
     /// How long a gateway that was asked goes on as a relay: followers ask again within half of that.
-    pub asked_lifetime: Duration,
+    pub follower_lease: Duration,
     /// How long others are followed after the store has failed this gateway.
-    pub store_pause: Duration,
+    pub store_backoff: Duration,
 }
 
 impl Default for RelayOptions {
     fn default() -> Self {
         RelayOptions {
-            direct_up_to: 6,
-            pass_over: Duration::from_secs(10),
-            asked_lifetime: Duration::from_secs(4),
-            store_pause: Duration::from_secs(2),
+            max_direct_gateways: 6,
+            failure_backoff: Duration::from_secs(10),
+            follower_lease: Duration::from_secs(4),
+            store_backoff: Duration::from_secs(2),
         }
     }
 }
@@ -54,7 +54,7 @@
 
 /// The gateways of one hall, and which of them to follow.
 #[derive(Clone, Debug)]
-pub struct Relays<A> {
+pub struct RelaySelector<A> {
     options: RelayOptions,
     own: A,
     /// The hall's gateways in the order in which they are taken as relays.
@@ -64,10 +64,10 @@
     store_failed_at: Option<Moment>,
 }
 
-impl<A: Clone + Eq + std::hash::Hash + ToString> Relays<A> {
+impl<A: Clone + Eq + std::hash::Hash + ToString> RelaySelector<A> {
     /// Makes the choice of a gateway that knows no other.
     pub fn new(own: A, options: RelayOptions) -> Self {
-        Relays {
+        RelaySelector {
             options,
             own,
             order: Vec::new(),
@@ -93,13 +93,13 @@
 
     /// Gets what to follow now.
     pub fn source(&self, now: Moment) -> Source<A> {
-        if self.order.len() <= self.options.direct_up_to {
+        if self.order.len() <= self.options.max_direct_gateways {
             return Source::Store;
         }
 
-        let is_cut_off = self.is_cut_off(now);
+        let is_cut_off = self.is_store_failing(now);
 
-        if !is_cut_off && self.is_recent(self.asked_at, self.options.asked_lifetime, now) {
+        if !is_cut_off && self.is_recent(self.asked_at, self.options.follower_lease, now) {
             return Source::Store;
         }
 
@@ -119,23 +119,23 @@
     }
 
     /// Tells whether the store has failed this gateway lately.
-    pub fn is_cut_off(&self, now: Moment) -> bool {
-        self.is_recent(self.store_failed_at, self.options.store_pause, now)
+    pub fn is_store_failing(&self, now: Moment) -> bool {
+        self.is_recent(self.store_failed_at, self.options.store_backoff, now)
     }
 
     /// Tells whether others may follow this gateway, as there are relays in its hall.
-    pub fn has_followers(&self) -> bool {
-        self.order.len() > self.options.direct_up_to
+    pub fn uses_relays(&self) -> bool {
+        self.order.len() > self.options.max_direct_gateways
     }
 
     /// Notes that another gateway asked this one.
-    pub fn record_ask(&mut self, now: Moment) {
+    pub fn record_follower(&mut self, now: Moment) {
         self.asked_at = Some(now);
     }
 
     /// Notes that a relay did not answer, or is not fresh itself.
     pub fn record_relay_failure(&mut self, relay: &A, now: Moment) {
-        self.passed_over.insert(relay.clone(), now + self.options.pass_over);
+        self.passed_over.insert(relay.clone(), now + self.options.failure_backoff);
     }
 
     /// Notes that the store did not answer this gateway as it should.
--- a/grebedeck-gateway/src/routes.rs
+++ b/grebedeck-gateway/src/routes.rs
@@ -31,7 +31,7 @@
     }
 
     /// Gets a short word for logs and counters.
-    pub fn word(self) -> &'static str {
+    pub fn label(self) -> &'static str {
         match self {
             Denied::NoConfiguration => "no_configuration",
             Denied::NoRoute => "no_route",
@@ -116,7 +116,7 @@
     }
 
     /// Tells whether requests for a service differ in urgency.
-    pub fn ranks_requests(&self, service: &str) -> bool {
+    pub fn has_urgency_levels(&self, service: &str) -> bool {
         self.urgencies.get(service).is_some_and(|urgencies| urgencies.len() > 1)
     }
 
@@ -149,7 +149,7 @@
     }
 
     /// Tells whether some requests for a service are less urgent than that.
-    pub fn outranks_some(&self, service: &str, urgency: Urgency) -> bool {
+    pub fn has_less_urgent(&self, service: &str, urgency: Urgency) -> bool {
         let urgencies = self.urgencies.get(service);
 
         urgencies.and_then(|urgencies| urgencies.last()).is_some_and(|last| urgency < *last)
--- a/grebedeck-gateway/src/site.rs
+++ b/grebedeck-gateway/src/site.rs
@@ -27,7 +27,7 @@
 
 /// Whether a request may run again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Kind {
+pub enum RequestKind {
     /// It may run more than once.
     Safe,
     /// It runs at most once.
@@ -39,21 +39,21 @@
     },
 }
 
-impl Kind {
+impl RequestKind {
     /// Tells whether a request may run again after it may have run.
     pub fn is_repeatable(self) -> bool {
-        matches!(self, Kind::Safe | Kind::Stream { is_resumable: true })
+        matches!(self, RequestKind::Safe | RequestKind::Stream { is_resumable: true })
     }
 
     /// Tells whether the answer is a stream of events.
     pub fn is_stream(self) -> bool {
-        matches!(self, Kind::Stream { .. })
+        matches!(self, RequestKind::Stream { .. })
     }
 }
 
 /// A service with its part of a route's requests.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Weighted {
+pub struct WeightedService {
     /// The service.
     pub service: ServiceName,
     /// Its part, relative to the other services of the route.
@@ -70,7 +70,7 @@
     /// Start of the path; it begins and ends with a slash.
     pub path_prefix: String,
     /// Whether a request may run again.
-    pub kind: Kind,
+    pub kind: RequestKind,
     /// Longest time that a request is held.
     pub time_limit: Duration,
     /// Time within which an answer, or a stream's first event, is of full use.
@@ -80,7 +80,7 @@
     /// Rank among routes; 0 is the most urgent.
     pub priority: u8,
     /// Services that take the requests.
-    pub services: Vec<Weighted>,
+    pub services: Vec<WeightedService>,
     /// Most targets that one request is sent to.
     pub max_targets: u32,
     /// Whether requests need no key.
--- a/grebedeck-gateway/src/source.rs
+++ b/grebedeck-gateway/src/source.rs
@@ -96,7 +96,8 @@
         hall: HallName,
     },
     /// A hall may get requests again.
-    TakenBack {
+    #[serde(rename = "TakenBack")]
+    Reopened {
         /// The store's version of that.
         version: StoreVersion,
         /// The hall.
--- a/grebedeck-gateway/src/targets.rs
+++ b/grebedeck-gateway/src/targets.rs
@@ -282,12 +282,12 @@
     /// Tells whether the lists of targets that take work stand for a moment that is longer ago than that, and evacuated
     /// halls have changed them since.
     pub fn is_index_older(&self, age: Duration, now: Moment) -> bool {
-        now > self.indexed_at + age && self.evacuations.moves_between(self.indexed_at, now)
+        now > self.indexed_at + age && self.evacuations.has_transition_between(self.indexed_at, now)
     }
 
     /// Notes that all words on halls up to a version are known.
     pub fn know_halls_up_to(&mut self, version: StoreVersion) {
-        self.evacuations.known_up_to(version);
+        self.evacuations.advance_to(version);
     }
 
     /// Gets what is known of evacuated halls.
@@ -318,7 +318,7 @@
         let since = std::mem::replace(&mut self.indexed_at, now);
         let some_stay = self.leaving.forget_doubtful(now);
 
-        if over.is_empty() && !some_stay && !self.evacuations.moves_between(since, now) {
+        if over.is_empty() && !some_stay && !self.evacuations.has_transition_between(since, now) {
             return Vec::new();
         }
 
@@ -568,7 +568,7 @@
             }
 
             // Every way to a target passes this list, so that none can be forgotten.
-            if self.evacuations.stops(&known.entry, self.indexed_at) {
+            if self.evacuations.excludes(&known.entry, self.indexed_at) {
                 stopped.insert(&known.entry.service);
             } else {
                 by_service
--- a/grebedeck-gateway/tests/decisions.rs
+++ b/grebedeck-gateway/tests/decisions.rs
@@ -5,8 +5,8 @@
 use grebedeck_gateway::answer::{give_up_status, may_send_again};
 use grebedeck_gateway::wire::TargetLoad;
 use grebedeck_gateway::{
-    Availability, EventBuffer, Kind, Outage, OutageOptions, Pacing, PacingOptions, Patience,
-    PatienceOptions, RunState, Verdict, WindowBudget, WindowOptions, judge,
+    Availability, EventBuffer, Outage, OutageOptions, Pacing, PacingOptions, Patience,
+    PatienceOptions, RequestKind, RunState, Verdict, WindowBudget, WindowOptions, judge,
 };
 use proptest::prelude::*;
 
@@ -351,10 +351,10 @@
         assert!(matches!(give_up_status(RunState::MayHaveRun, is_late), 502 | 504));
     }
 
-    assert!(!may_send_again(Kind::Once, RunState::MayHaveRun));
-    assert!(!may_send_again(Kind::Stream { is_resumable: false }, RunState::MayHaveRun));
-    assert!(may_send_again(Kind::Once, RunState::NotRun));
-    assert!(may_send_again(Kind::Safe, RunState::MayHaveRun));
+    assert!(!may_send_again(RequestKind::Once, RunState::MayHaveRun));
+    assert!(!may_send_again(RequestKind::Stream { is_resumable: false }, RunState::MayHaveRun));
+    assert!(may_send_again(RequestKind::Once, RunState::NotRun));
+    assert!(may_send_again(RequestKind::Safe, RunState::MayHaveRun));
 }
 
 #[test]
--- a/grebedeck-gateway/tests/evacuation.rs
+++ b/grebedeck-gateway/tests/evacuation.rs
@@ -4,9 +4,10 @@
 use std::time::Duration;
 
 use grebedeck_core::Moment;
-use grebedeck_gateway::evacuation::{DEFAULT_BOUND, MAX_HALL_BYTES, MAX_HALLS};
+use grebedeck_gateway::evacuation::{DEFAULT_EVACUATION_BOUND, MAX_HALL_NAME_BYTES, MAX_HALLS};
 use grebedeck_gateway::{
-    Evacuations, HallEvent, HallWord, HallWords, ListedTarget, TargetEntry, TargetList, TargetState,
+    Evacuations, HallEvent, HallStatus, HallStatuses, ListedTarget, TargetEntry, TargetList,
+    TargetState,
 };
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -36,13 +37,13 @@
 
 /// Gets how many of a hall's targets are stopped at a moment.
 fn stopped(of: &Evacuations, hall: &str, now: Moment) -> usize {
-    (0..100).filter(|n| of.stops(&target(&format!("i-{n}"), hall), now)).count()
+    (0..100).filter(|n| of.excludes(&target(&format!("i-{n}"), hall), now)).count()
 }
 
 fn evacuated_at(at: Moment) -> Evacuations {
     let mut all = Evacuations::default();
-    all.take_change(5, &"north".into(), true, at);
-    all.known_up_to(5);
+    all.apply_change(5, &"north".into(), true, at);
+    all.advance_to(5);
     all
 }
 
@@ -75,7 +76,7 @@
 #[test]
 fn what_is_read_at_the_start_holds_at_once() {
     let mut all = Evacuations::default();
-    let events = all.take_snapshot(9, &named(&["north"]), None, MS(3));
+    let events = all.apply_snapshot(9, &named(&["north"]), None, MS(3));
 
     assert_eq!(events, [HallEvent::Evacuated { hall: "north".into(), version: 9 }]);
     assert_eq!(stopped(&all, "north", MS(3)), 100);
@@ -84,9 +85,9 @@
 /// News that come late, by a peer or after the store was away, leave less time.
 #[test]
 fn the_age_of_news_counts() {
-    let told = evacuated_at(MS(4000)).words(MS(5000));
+    let told = evacuated_at(MS(4000)).statuses(MS(5000));
     let mut other = Evacuations::default();
-    other.take_words(&told, MS(90_000));
+    other.merge(&told, MS(90_000));
     assert_eq!(
         stopped(&other, "north", MS(90_000)),
         stopped(&evacuated_at(MS(0)), "north", MS(1000))
@@ -94,36 +95,36 @@
     assert_eq!(stopped(&other, "north", MS(90_700)), 100);
 
     let mut young = Evacuations::default();
-    young.take_words(&told, MS(10));
+    young.merge(&told, MS(10));
     assert_eq!(stopped(&young, "north", MS(10)), 100, "older than the process");
 
     let mut after_trouble = Evacuations::default();
-    after_trouble.take_snapshot(1, &[], None, MS(0));
-    after_trouble.take_snapshot(7, &named(&["north"]), Some(MS(100)), MS(9000));
+    after_trouble.apply_snapshot(1, &[], None, MS(0));
+    after_trouble.apply_snapshot(7, &named(&["north"]), Some(MS(100)), MS(9000));
     assert_eq!(stopped(&after_trouble, "north", MS(9000)), 100);
 }
 
 #[test]
 fn a_hall_that_is_taken_back_returns_target_by_target() {
     let mut all = evacuated_at(MS(1000));
-    assert_eq!(all.returned_at("north"), None);
-    let event = all.take_change(8, &"north".into(), false, MS(9000));
-    assert_eq!(event, Some(HallEvent::TakenBack { hall: "north".into(), version: 8 }));
+    assert_eq!(all.reopened_at("north"), None);
+    let event = all.apply_change(8, &"north".into(), false, MS(9000));
+    assert_eq!(event, Some(HallEvent::Reopened { hall: "north".into(), version: 8 }));
 
-    assert_eq!(all.returned_at("north"), Some(MS(9000)));
-    assert_eq!(all.returned_at("south"), None);
+    assert_eq!(all.reopened_at("north"), Some(MS(9000)));
+    assert_eq!(all.reopened_at("south"), None);
     assert!(stopped(&all, "north", MS(9000)) >= 98);
     assert!((30..70).contains(&stopped(&all, "north", MS(9833))));
     assert_eq!(stopped(&all, "north", MS(10_700)), 0);
-    assert!(all.moves_between(MS(9500), MS(9600)));
-    assert!(!all.moves_between(MS(10_700), MS(99_000)));
+    assert!(all.has_transition_between(MS(9500), MS(9600)));
+    assert!(!all.has_transition_between(MS(10_700), MS(99_000)));
 }
 
 #[test]
 fn a_hall_that_is_taken_back_soon_stops_nobody_else() {
     let mut all = evacuated_at(MS(1000));
     let before = stopped(&all, "north", MS(1400));
-    all.take_change(8, &"north".into(), false, MS(1400));
+    all.apply_change(8, &"north".into(), false, MS(1400));
 
     assert!(stopped(&all, "north", MS(1400)) <= before);
     assert!((1400..3200).all(|ms| stopped(&all, "north", MS(ms)) <= before));
@@ -133,11 +134,11 @@
 #[test]
 fn targets_that_had_not_returned_stay_away_where_the_hall_is_evacuated_again() {
     let mut all = evacuated_at(MS(1000));
-    all.take_change(8, &"north".into(), false, MS(9000));
-    all.take_change(9, &"north".into(), true, MS(9400));
+    all.apply_change(8, &"north".into(), false, MS(9000));
+    all.apply_change(9, &"north".into(), true, MS(9400));
 
     assert_eq!(stopped(&all, "north", MS(9400)), 100);
-    assert_eq!(all.returned_at("north"), None);
+    assert_eq!(all.reopened_at("north"), None);
 }
 
 #[test]
@@ -145,47 +146,47 @@
     let mut all = evacuated_at(MS(1000));
     let north = "north".to_string();
 
-    assert_eq!(all.take_change(5, &north, true, MS(2500)), None);
-    assert_eq!(all.take_change(6, &north, true, MS(2600)), None, "set once more");
+    assert_eq!(all.apply_change(5, &north, true, MS(2500)), None);
+    assert_eq!(all.apply_change(6, &north, true, MS(2600)), None, "set once more");
     assert_eq!(stopped(&all, "north", MS(2700)), 100, "its time goes on from the first word");
-    assert_eq!(all.take_change(4, &north, false, MS(2800)), None, "older");
+    assert_eq!(all.apply_change(4, &north, false, MS(2800)), None, "older");
     assert_eq!(halls(&all), ["north"]);
 }
 
 #[test]
 fn a_gateway_that_was_cut_off_undoes_nothing() {
-    let cut_off = evacuated_at(MS(0)).words(MS(500));
+    let cut_off = evacuated_at(MS(0)).statuses(MS(500));
     let mut current = evacuated_at(MS(0));
-    current.take_change(8, &"north".into(), false, MS(9000));
-    current.known_up_to(8);
+    current.apply_change(8, &"north".into(), false, MS(9000));
+    current.advance_to(8);
 
-    assert!(current.take_words(&cut_off, MS(9100)).is_empty());
+    assert!(current.merge(&cut_off, MS(9100)).is_empty());
     assert!(halls(&current).is_empty());
 
     let mut late = evacuated_at(MS(0));
-    let told = current.words(MS(9500));
+    let told = current.statuses(MS(9500));
     assert_eq!(
-        late.take_words(&told, MS(9500)),
-        [HallEvent::TakenBack { hall: "north".into(), version: 8 }]
+        late.merge(&told, MS(9500)),
+        [HallEvent::Reopened { hall: "north".into(), version: 8 }]
     );
-    assert_eq!(late.returned_at("north"), Some(MS(9000)));
+    assert_eq!(late.reopened_at("north"), Some(MS(9000)));
 }
 
 #[test]
 fn halls_that_a_whole_list_does_not_name_are_taken_back() {
     let mut all = Evacuations::default();
-    all.take_snapshot(5, &named(&["north", "south"]), None, MS(0));
-    let events = all.take_snapshot(9, &named(&["south"]), Some(MS(50)), MS(100));
+    all.apply_snapshot(5, &named(&["north", "south"]), None, MS(0));
+    let events = all.apply_snapshot(9, &named(&["south"]), Some(MS(50)), MS(100));
 
-    assert_eq!(events, [HallEvent::TakenBack { hall: "north".into(), version: 9 }]);
-    assert!(all.take_snapshot(6, &named(&["north"]), None, MS(200)).is_empty(), "an older list");
+    assert_eq!(events, [HallEvent::Reopened { hall: "north".into(), version: 9 }]);
+    assert!(all.apply_snapshot(6, &named(&["north"]), None, MS(200)).is_empty(), "an older list");
     assert_eq!(halls(&all), ["south"]);
 }
 
 #[test]
 fn a_hall_that_nobody_knows_stops_no_target() {
     let mut all = Evacuations::default();
-    all.take_change(5, &"a%20hall/\u{2603}".into(), true, MS(0));
+    all.apply_change(5, &"a%20hall/\u{2603}".into(), true, MS(0));
 
     assert_eq!(halls(&all).len(), 1);
     assert_eq!(stopped(&all, "north", MS(9000)), 0);
@@ -195,28 +196,28 @@
 #[test]
 fn words_are_bounded() {
     let mut all = Evacuations::default();
-    let long = "x".repeat(MAX_HALL_BYTES + 1);
-    let left_out = all.take_change(1, &long, true, MS(0));
-    assert_eq!(left_out, Some(HallEvent::LeftOut { hall: long, version: 1 }));
+    let long = "x".repeat(MAX_HALL_NAME_BYTES + 1);
+    let left_out = all.apply_change(1, &long, true, MS(0));
+    assert_eq!(left_out, Some(HallEvent::Dropped { hall: long, version: 1 }));
 
     for number in 0..MAX_HALLS as u64 {
-        all.take_change(2 + number, &format!("hall-{number}"), true, MS(0));
-        all.known_up_to(2 + number);
+        all.apply_change(2 + number, &format!("hall-{number}"), true, MS(0));
+        all.advance_to(2 + number);
     }
 
     let next = 3 + MAX_HALLS as u64;
-    let one_more = all.take_change(next, &"one-more".into(), true, MS(0));
-    assert!(matches!(one_more, Some(HallEvent::LeftOut { .. })), "{one_more:?}");
-    assert!(!all.words(MS(0)).is_whole, "nobody takes back what was left out here");
+    let one_more = all.apply_change(next, &"one-more".into(), true, MS(0));
+    assert!(matches!(one_more, Some(HallEvent::Dropped { .. })), "{one_more:?}");
+    assert!(!all.statuses(MS(0)).is_complete, "nobody takes back what was left out here");
 
     // Words on halls that were taken back make room, and their older words do not return.
-    all.take_change(next + 1, &"hall-7".into(), false, MS(0));
-    all.known_up_to(next + 1);
-    let room = all.take_change(next + 2, &"one-more".into(), true, MS(0));
+    all.apply_change(next + 1, &"hall-7".into(), false, MS(0));
+    all.advance_to(next + 1);
+    let room = all.apply_change(next + 2, &"one-more".into(), true, MS(0));
     assert!(matches!(room, Some(HallEvent::Evacuated { .. })), "{room:?}");
-    let old = HallWord { hall: "hall-7".into(), version: 9, is_evacuated: true, age_ms: Some(9) };
-    let told = HallWords { version: 9, is_whole: true, words: vec![old] };
-    assert!(all.take_words(&told, MS(100)).is_empty());
+    let old = HallStatus { hall: "hall-7".into(), version: 9, is_evacuated: true, age_ms: Some(9) };
+    let told = HallStatuses { version: 9, is_complete: true, statuses: vec![old] };
+    assert!(all.merge(&told, MS(100)).is_empty());
 }
 
 fn list_of(entries: &[(&str, &str)]) -> TargetList {
@@ -238,7 +239,7 @@
 fn the_list_leaves_out_targets_of_evacuated_halls_and_keeps_them_known() {
     let mut list = list_of(&[("a", "north"), ("b", "south"), ("c", "north")]);
     let evacuate =
-        |halls: &mut Evacuations| halls.take_snapshot(60, &named(&["north"]), None, MS(9));
+        |halls: &mut Evacuations| halls.apply_snapshot(60, &named(&["north"]), None, MS(9));
     list.change_evacuations(evacuate, MS(9));
 
     assert_eq!(serving(&list), ["b"]);
@@ -246,16 +247,16 @@
     assert_eq!(list.all().count(), 3, "what runs there ends in peace");
     assert!(list.get("a").is_some());
 
-    let both = |halls: &mut Evacuations| halls.take_change(61, &"south".into(), true, MS(10));
+    let both = |halls: &mut Evacuations| halls.apply_change(61, &"south".into(), true, MS(10));
     list.change_evacuations(both, MS(10));
-    list.tick(MS(10) + DEFAULT_BOUND / 2);
+    list.tick(MS(10) + DEFAULT_EVACUATION_BOUND / 2);
     assert!(serving(&list).is_empty());
     assert!(list.is_evacuated("plain"));
     assert!(!list.is_evacuated("other"), "there is nothing to evacuate");
 
-    let back = |halls: &mut Evacuations| halls.take_change(62, &"south".into(), false, MS(9000));
+    let back = |halls: &mut Evacuations| halls.apply_change(62, &"south".into(), false, MS(9000));
     list.change_evacuations(back, MS(9000));
-    list.tick(MS(9000) + DEFAULT_BOUND / 2);
+    list.tick(MS(9000) + DEFAULT_EVACUATION_BOUND / 2);
     assert_eq!(serving(&list), ["b"]);
     assert!(!list.is_evacuated("plain"));
 }
@@ -264,7 +265,7 @@
 fn targets_that_are_listed_later_stay_out_of_an_evacuated_hall() {
     let mut list = list_of(&[("a", "south")]);
     let evacuate =
-        |halls: &mut Evacuations| halls.take_snapshot(60, &named(&["north"]), None, MS(9));
+        |halls: &mut Evacuations| halls.apply_snapshot(60, &named(&["north"]), None, MS(9));
     list.change_evacuations(evacuate, MS(9));
     let entry = target("new-one", "north");
     let new = grebedeck_gateway::TargetChange::Set(ListedTarget { version: 70, entry });
@@ -276,7 +277,8 @@
 #[test]
 fn a_list_knows_when_it_is_to_be_made_anew() {
     let mut list = list_of(&[("a", "north")]);
-    let evacuate = |halls: &mut Evacuations| halls.take_change(60, &"north".into(), true, MS(1000));
+    let evacuate =
+        |halls: &mut Evacuations| halls.apply_change(60, &"north".into(), true, MS(1000));
     list.change_evacuations(evacuate, MS(1000));
 
     assert!(!list.is_index_older(MS(250), MS(1200)));
@@ -365,7 +367,7 @@
         Step::Read { gateway, back } => {
             let version = truth.version().saturating_sub(back);
             let halls: Vec<String> = truth.at(version).into_iter().collect();
-            gateways[gateway].halls.take_snapshot(version, &halls, None, now);
+            gateways[gateway].halls.apply_snapshot(version, &halls, None, now);
             gateways[gateway].after = Some(version);
         }
         Step::Watch { gateway, is_brief } => {
@@ -374,11 +376,11 @@
                 gateway.after.map(|after| truth.after(after, is_brief)).unwrap_or_default();
 
             for (version, hall, is_set) in &changes {
-                gateway.halls.take_change(*version, &HALLS[*hall].into(), *is_set, now);
+                gateway.halls.apply_change(*version, &HALLS[*hall].into(), *is_set, now);
             }
 
             if let Some((newest, ..)) = changes.last() {
-                gateway.halls.known_up_to(*newest);
+                gateway.halls.advance_to(*newest);
                 gateway.after = Some(*newest);
             }
         }
@@ -388,12 +390,12 @@
 
             if version > 0 {
                 let (hall, is_set) = truth.0[version as usize - 1];
-                halls.take_change(version, &HALLS[hall].into(), is_set, now);
+                halls.apply_change(version, &HALLS[hall].into(), is_set, now);
             }
         }
         Step::Ask { gateway, other } => {
-            let told = gateways[other].halls.words(now);
-            gateways[gateway].halls.take_words(&told, now);
+            let told = gateways[other].halls.statuses(now);
+            gateways[gateway].halls.merge(&told, now);
         }
         Step::Restart { gateway } => gateways[gateway] = Gateway::default(),
     }
@@ -426,9 +428,9 @@
         }
 
         // Whoever asks somebody who knows all knows all.
-        gateways[0].halls.take_snapshot(truth.version(), &Vec::from_iter(truth.at(truth.version())), None, MS(0));
-        let told = gateways[0].halls.words(MS(0));
-        gateways[1].halls.take_words(&told, MS(0));
+        gateways[0].halls.apply_snapshot(truth.version(), &Vec::from_iter(truth.at(truth.version())), None, MS(0));
+        let told = gateways[0].halls.statuses(MS(0));
+        gateways[1].halls.merge(&told, MS(0));
         prop_assert_eq!(BTreeSet::from_iter(halls(&gateways[1].halls)), truth.at(truth.version()));
     }
 }
--- a/grebedeck-gateway/tests/limit.rs
+++ b/grebedeck-gateway/tests/limit.rs
@@ -5,7 +5,7 @@
 
 use grebedeck_core::Moment;
 use grebedeck_gateway::limit::{
-    LimitChange, MAX_LIMIT_PER_S, MIN_LIMIT_PER_S, NamedLimit, named_limit,
+    AnnouncedLimit, LimitChange, MAX_LIMIT_PER_S, MIN_LIMIT_PER_S, announced_limit,
 };
 use grebedeck_gateway::{Limits, TargetEntry, TargetState};
 use proptest::prelude::*;
@@ -27,8 +27,8 @@
     })
 }
 
-fn named(values: &[&str]) -> NamedLimit {
-    named_limit(values.iter().map(|value| value.as_bytes()))
+fn named(values: &[&str]) -> AnnouncedLimit {
+    announced_limit(values.iter().map(|value| value.as_bytes()))
 }
 
 /// An answer as the target makes it usually, to a request sent at this time.
@@ -38,14 +38,14 @@
 
 #[test]
 fn limits_are_read_and_what_is_none_is_told_apart() {
-    assert_eq!(named(&[]), NamedLimit::Absent);
-    assert_eq!(named(&["1"]), NamedLimit::PerS(1.0));
-    assert_eq!(named(&[" 0.5 "]), NamedLimit::PerS(0.5));
-    assert_eq!(named(&["4", "x", "2.5"]), NamedLimit::PerS(2.5));
-    assert_eq!(named(&["1e-9"]), NamedLimit::PerS(MIN_LIMIT_PER_S));
+    assert_eq!(named(&[]), AnnouncedLimit::Absent);
+    assert_eq!(named(&["1"]), AnnouncedLimit::PerS(1.0));
+    assert_eq!(named(&[" 0.5 "]), AnnouncedLimit::PerS(0.5));
+    assert_eq!(named(&["4", "x", "2.5"]), AnnouncedLimit::PerS(2.5));
+    assert_eq!(named(&["1e-9"]), AnnouncedLimit::PerS(MIN_LIMIT_PER_S));
 
     for bad in ["", "none", "-1", "0", "-0", "NaN", "inf", "-inf", "1e300", "1,5", "1 2"] {
-        assert_eq!(named(&[bad]), NamedLimit::Unreadable, "{bad}");
+        assert_eq!(named(&[bad]), AnnouncedLimit::Unreadable, "{bad}");
     }
 }
 
@@ -58,12 +58,12 @@
     assert_eq!(answer(&mut limits, &target, &["3"], 200), LimitChange::Set(3.0));
     // It was sent before the limit was heard of, and its answer has been overtaken.
     assert_eq!(
-        limits.observe(&target, NamedLimit::Absent, true, at(205), at(400)),
+        limits.observe(&target, AnnouncedLimit::Absent, true, at(205), at(400)),
         LimitChange::None
     );
     // A failure says nothing of it.
     assert_eq!(
-        limits.observe(&target, NamedLimit::Absent, false, at(300), at(400)),
+        limits.observe(&target, AnnouncedLimit::Absent, false, at(300), at(400)),
         LimitChange::None
     );
     assert_eq!(limits.view(&target).map(|l| (l.per_s, l.since)), Some((3.0, at(110))));
@@ -106,10 +106,10 @@
 
     #[test]
     fn whatever_is_named_is_a_limit_within_bounds_or_none(values in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..12), 0..4)) {
-        match named_limit(values.iter().map(Vec::as_slice)) {
-            NamedLimit::PerS(per_s) => prop_assert!((MIN_LIMIT_PER_S..=MAX_LIMIT_PER_S).contains(&per_s)),
-            NamedLimit::Absent => prop_assert!(values.is_empty()),
-            NamedLimit::Unreadable => prop_assert!(!values.is_empty()),
+        match announced_limit(values.iter().map(Vec::as_slice)) {
+            AnnouncedLimit::PerS(per_s) => prop_assert!((MIN_LIMIT_PER_S..=MAX_LIMIT_PER_S).contains(&per_s)),
+            AnnouncedLimit::Absent => prop_assert!(values.is_empty()),
+            AnnouncedLimit::Unreadable => prop_assert!(!values.is_empty()),
         }
     }
 }
--- a/grebedeck-gateway/tests/memory.rs
+++ b/grebedeck-gateway/tests/memory.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use grebedeck_gateway::memory::{Memory, SMALL_BYTES};
-use grebedeck_gateway::reader::{Reader, Waiting};
+use grebedeck_gateway::reader::{WriteTimeouts, WriteWait};
 use proptest::prelude::*;
 
 const MS: fn(u64) -> Duration = Duration::from_millis;
@@ -62,21 +62,21 @@
 
 #[test]
 fn a_peer_that_takes_nothing_is_given_up() {
-    let reader = Reader::new(MS(2000), MS(9000), MS(1000));
+    let reader = WriteTimeouts::new(MS(2000), MS(9000), MS(1000));
 
-    assert_eq!(reader.waiting(MS(1500)), Waiting::For(MS(1500)));
-    assert_eq!(reader.waiting(MS(3000)), Waiting::Stalled);
+    assert_eq!(reader.remaining(MS(1500)), WriteWait::For(MS(1500)));
+    assert_eq!(reader.remaining(MS(3000)), WriteWait::Stalled);
 }
 
 #[test]
 fn a_peer_that_takes_a_little_each_time_is_waited_for_until_the_end() {
-    let mut reader = Reader::new(MS(2000), MS(9000), MS(1000));
+    let mut reader = WriteTimeouts::new(MS(2000), MS(9000), MS(1000));
 
     for at in (2..9).map(|s| MS(s * 1000)) {
-        assert!(matches!(reader.waiting(at), Waiting::For(_)), "{at:?}");
-        reader.took(at);
+        assert!(matches!(reader.remaining(at), WriteWait::For(_)), "{at:?}");
+        reader.record_progress(at);
     }
 
-    assert_eq!(reader.waiting(MS(8500)), Waiting::For(MS(500)));
-    assert_eq!(reader.waiting(MS(9000)), Waiting::TimedOut);
+    assert_eq!(reader.remaining(MS(8500)), WriteWait::For(MS(500)));
+    assert_eq!(reader.remaining(MS(9000)), WriteWait::TimedOut);
 }
--- a/grebedeck-gateway/tests/quota.rs
+++ b/grebedeck-gateway/tests/quota.rs
@@ -8,9 +8,9 @@
 
 use grebedeck_core::random::SeededSource;
 use grebedeck_core::{Moment, RandomSource};
-use grebedeck_gateway::coordinator::{PARTITIONS, SETTLE, partition_of};
-use grebedeck_gateway::limit::{LimitChange, NamedLimit};
-use grebedeck_gateway::quota::{Demand, PERMIT_LIFETIME, QuotaDemand, QuotaGrant};
+use grebedeck_gateway::coordinator::{PARTITIONS, SETTLE_TIME, partition_of};
+use grebedeck_gateway::limit::{AnnouncedLimit, LimitChange};
+use grebedeck_gateway::quota::{DemandCounter, PERMIT_LIFETIME, QuotaDemand, QuotaGrant};
 use grebedeck_gateway::{Coordinators, Limits, QuotaLedger, TargetEntry, TargetState};
 
 /// Time between two asks of a gateway.
@@ -58,7 +58,7 @@
     coordinators: Coordinators,
     /// Requests of callers a second.
     rate: f64,
-    demand: Demand,
+    demand: DemandCounter,
     is_up: bool,
     is_idle: bool,
     asks_at: Moment,
@@ -74,7 +74,7 @@
     Ask { from: usize, to: usize, round: u64, demands: Vec<QuotaDemand> },
     Answer { from: usize, to: usize, round: u64, grants: Vec<QuotaGrant> },
     Notify { to: usize, changes: Vec<QuotaGrant> },
-    Head { gateway: usize, target: usize, named: NamedLimit, sent_at: Moment },
+    Head { gateway: usize, target: usize, named: AnnouncedLimit, sent_at: Moment },
 }
 
 struct Fleet {
@@ -82,7 +82,7 @@
     random: SeededSource,
     targets: Vec<Arc<TargetEntry>>,
     /// What each target names.
-    named: Vec<NamedLimit>,
+    named: Vec<AnnouncedLimit>,
     gateways: Vec<Gateway>,
     /// Groups of gateways that hear each other.
     sides: Vec<usize>,
@@ -100,7 +100,7 @@
             ledger: QuotaLedger::default(),
             coordinators: Coordinators::new(address(number)),
             rate: rates(number),
-            demand: Demand::default(),
+            demand: DemandCounter::default(),
             is_up: true,
             is_idle: false,
             asks_at: ms(number as u64 * 7 % 400),
@@ -113,7 +113,7 @@
             now: Moment::ZERO,
             random: SeededSource::new(47),
             targets: (0..named.len()).map(target).collect(),
-            named: named.iter().map(|per_s| NamedLimit::PerS(*per_s)).collect(),
+            named: named.iter().map(|per_s| AnnouncedLimit::PerS(*per_s)).collect(),
             gateways: (0..gateways).map(gateway).collect(),
             sides: vec![0; gateways],
             on_the_way: BTreeMap::new(),
@@ -189,7 +189,7 @@
             let chosen = may_send[self.random.below(may_send.len())];
             let target = self.targets[chosen].clone();
             let permit = gateway.limits.acquire(&target, self.now).expect("one was there");
-            assert!(gateway.limits.send(&target, permit, self.now), "taken just now");
+            assert!(gateway.limits.confirm_send(&target, permit, self.now), "taken just now");
             gateway.served += 1;
             let is_told = gateway.limits.is_limited(&target);
             self.arrivals[chosen].push((self.now, number, is_told));
@@ -218,7 +218,7 @@
 
         for round in over {
             let (asked, _) = gateway.open.remove(&round).expect("one of them");
-            gateway.coordinators.missed(asked, now);
+            gateway.coordinators.record_timeout(asked, now);
         }
 
         let wanted = gateway.demand.wanted(now);
@@ -276,7 +276,7 @@
 
         let (now, random) = (self.now, &mut self.random);
         let gateway = &mut self.gateways[to];
-        let part = |target: &str| gateway.coordinators.part(partition_of(target), now);
+        let part = |target: &str| gateway.coordinators.limit_fraction(partition_of(target), now);
         let grants = gateway.ledger.grant(address(from), demands, part, now, random);
         self.messages += usize::from(from != to);
         self.post(LATENCY, Message::Answer { from: to, to: from, round, grants });
@@ -289,7 +289,7 @@
 
         let now = self.now;
         let gateway = &mut self.gateways[to];
-        gateway.coordinators.answered(address(from), now);
+        gateway.coordinators.record_answer(address(from), now);
 
         let Some((_, asked_at)) = gateway.open.remove(&round) else {
             return;
@@ -401,7 +401,7 @@
 #[test]
 fn nobody_is_turned_away_beside_a_target_without_a_limit() {
     let mut fleet = Fleet::new(4, |_| 20.0, &[1.0, 1.0, 1.0]);
-    fleet.named[2] = NamedLimit::Absent;
+    fleet.named[2] = AnnouncedLimit::Absent;
     fleet.run_for(Duration::from_secs(20));
 
     assert!(fleet.busiest(0, ms(3000), |_| true) <= allowed(1.0));
@@ -412,7 +412,7 @@
 fn an_end_of_a_limit_that_one_gateway_hears_reaches_those_that_send_nothing() {
     let mut fleet = Fleet::new(8, |_| 4.0, &[0.25]);
     fleet.run_for(Duration::from_secs(10));
-    fleet.named[0] = NamedLimit::Absent;
+    fleet.named[0] = AnnouncedLimit::Absent;
     fleet.run_for(Duration::from_secs(10));
 
     let is_free = |gateway: &Gateway| !gateway.limits.is_limited(&fleet.targets[0]);
@@ -432,7 +432,7 @@
     fleet.run_for(Duration::from_secs(6));
     assert!(fleet.busiest(0, from, |_| true) <= allowed(1.0));
 
-    fleet.named[0] = NamedLimit::Absent;
+    fleet.named[0] = AnnouncedLimit::Absent;
     fleet.run_for(Duration::from_secs(4));
     assert!(fleet.gateways.iter().all(|g| !g.limits.is_limited(&fleet.targets[0])));
 }
@@ -441,12 +441,12 @@
 fn a_lowered_limit_and_a_raised_one_are_kept_to_by_all() {
     let mut fleet = Fleet::new(4, |_| 10.0, &[8.0]);
     fleet.run_for(Duration::from_secs(10));
-    fleet.named[0] = NamedLimit::PerS(1.0);
+    fleet.named[0] = AnnouncedLimit::PerS(1.0);
     let lowered = fleet.now;
     fleet.run_for(Duration::from_secs(13));
     assert!(fleet.busiest(0, lowered + ms(3000), |_| true) <= allowed(1.0));
 
-    fleet.named[0] = NamedLimit::PerS(8.0);
+    fleet.named[0] = AnnouncedLimit::PerS(8.0);
     fleet.run_for(Duration::from_secs(20));
     let used = fleet.used(0, lowered + ms(20_000), 8.0);
     assert!(used > 0.8, "{used}");
@@ -532,7 +532,7 @@
     fleet.sides = vec![0; 6];
     let healed = fleet.now;
     fleet.run_for(Duration::from_secs(30));
-    assert!(fleet.busiest(0, healed + SETTLE, |_| true) <= allowed(per_s));
+    assert!(fleet.busiest(0, healed + SETTLE_TIME, |_| true) <= allowed(per_s));
 }
 
 /// What a gateway sends follows from the number of coordinators, and not from that of gateways or of limited targets.
@@ -557,9 +557,9 @@
 #[test]
 fn a_target_in_need_does_not_get_a_request_of_each_gateway_that_was_not_told() {
     let mut fleet = Fleet::new(64, |_| 1.5, &vec![NO_LIMIT; 32]);
-    fleet.named = vec![NamedLimit::Absent; 32];
+    fleet.named = vec![AnnouncedLimit::Absent; 32];
     fleet.run_for(Duration::from_secs(20));
-    fleet.named = vec![NamedLimit::PerS(0.5); 32];
+    fleet.named = vec![AnnouncedLimit::PerS(0.5); 32];
     fleet.run_for(Duration::from_secs(3));
     let told = fleet.now;
     fleet.run_for(Duration::from_secs(20));
@@ -571,7 +571,7 @@
 #[test]
 fn no_message_is_sent_where_no_target_has_a_limit_or_nobody_asks() {
     let mut fleet = Fleet::new(4, |_| 10.0, &[1.0]);
-    fleet.named[0] = NamedLimit::Absent;
+    fleet.named[0] = AnnouncedLimit::Absent;
     fleet.run_for(Duration::from_secs(10));
     assert_eq!(fleet.messages, 0);
 }
@@ -580,29 +580,29 @@
 fn permits_are_used_once_and_lapse() {
     let target = target(0);
     let mut limits = Limits::default();
-    limits.observe(&target, NamedLimit::PerS(2.0), true, ms(0), ms(10));
+    limits.observe(&target, AnnouncedLimit::PerS(2.0), true, ms(0), ms(10));
     assert!(!limits.may_send(&target, ms(10)));
     let grant = |permits| QuotaGrant {
         target: target.id.clone(),
         birth: target.born_ms,
         limit: Some(2.0),
-        heard_ago: ms(5),
+        limit_age: ms(5),
         permits,
         rate: 1.0,
     };
 
     limits.apply(&target, &grant(2), PERMIT_LIFETIME, ms(20), ms(30));
     let permit = limits.acquire(&target, ms(40)).expect("the first");
-    assert!(limits.send(&target, permit, ms(50)));
+    assert!(limits.confirm_send(&target, permit, ms(50)));
     assert!(limits.acquire(&target, ms(50)).is_some());
     assert_eq!(limits.acquire(&target, ms(60)), None);
 
     limits.apply(&target, &grant(1), PERMIT_LIFETIME, ms(100), ms(110));
     let permit = limits.acquire(&target, ms(120)).expect("another");
     // Its connection took longer than the permit is good for.
-    assert!(!limits.send(&target, permit, ms(100) + PERMIT_LIFETIME));
+    assert!(!limits.confirm_send(&target, permit, ms(100) + PERMIT_LIFETIME));
     limits.apply(&target, &grant(1), PERMIT_LIFETIME, ms(800), ms(810));
-    assert!(limits.send(&target, permit, ms(820)), "there is another one by now");
+    assert!(limits.confirm_send(&target, permit, ms(820)), "there is another one by now");
     assert!(!limits.may_send(&target, ms(820)));
 }
 
@@ -612,9 +612,9 @@
     let target = target(0);
     let mut limits = Limits::default();
     let permit = limits.acquire(&target, ms(0)).expect("no limit yet");
-    limits.observe(&target, NamedLimit::PerS(2.0), true, ms(0), ms(10));
+    limits.observe(&target, AnnouncedLimit::PerS(2.0), true, ms(0), ms(10));
 
-    assert!(!limits.send(&target, permit, ms(20)));
+    assert!(!limits.confirm_send(&target, permit, ms(20)));
 }
 
 /// Rows of gateways that are gone stay in the list; each ask that they leave unanswered costs their targets' permits.
@@ -633,14 +633,14 @@
     while now < Duration::from_secs(300) {
         if coordinators.coordinator(partition, now) == gone {
             asked += 1;
-            coordinators.missed(gone, now);
+            coordinators.record_timeout(gone, now);
         }
 
         now += PERIOD;
     }
 
     assert!((6..=10).contains(&asked), "asked {asked} times in five minutes");
-    assert!(coordinators.answered(gone, now));
+    assert!(coordinators.record_answer(gone, now));
     assert_eq!(coordinators.coordinator(partition, now), gone);
     assert_eq!(coordinators.coordinator(0, now), first);
 }
@@ -650,7 +650,7 @@
 fn a_coordinator_that_has_just_started_does_not_end_limits_that_were_heard_of_before() {
     let target = target(0);
     let mut limits = Limits::default();
-    limits.observe(&target, NamedLimit::PerS(2.0), true, ms(50_000), ms(50_010));
+    limits.observe(&target, AnnouncedLimit::PerS(2.0), true, ms(50_000), ms(50_010));
     let mut ledger = QuotaLedger::default();
     let mut random = SeededSource::new(47);
 
--- a/grebedeck-gateway/tests/relay.rs
+++ b/grebedeck-gateway/tests/relay.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use grebedeck_gateway::{
-    Feed, FeedState, ListedTarget, RelayOptions, Relays, Snapshot, Source, TargetChange,
+    Feed, FeedState, ListedTarget, RelayOptions, RelaySelector, Snapshot, Source, TargetChange,
     TargetEntry, TargetListing, TargetState, Watched,
 };
 use proptest::prelude::*;
@@ -13,15 +13,15 @@
 const HALLS: usize = 5;
 
 /// All gateways of a hall, each with the same list.
-fn hall_of(size: usize) -> Vec<Relays<String>> {
+fn hall_of(size: usize) -> Vec<RelaySelector<String>> {
     hall_with_links(size, |_| 100)
 }
 
-fn hall_with_links(size: usize, link_mbps: impl Fn(usize) -> u32) -> Vec<Relays<String>> {
+fn hall_with_links(size: usize, link_mbps: impl Fn(usize) -> u32) -> Vec<RelaySelector<String>> {
     let names: Vec<String> = (0..size).map(name).collect();
 
     let gateway = |own: &String| {
-        let mut relays = Relays::new(own.clone(), RelayOptions::default());
+        let mut relays = RelaySelector::new(own.clone(), RelayOptions::default());
         let links = names.iter().enumerate().map(|(at, name)| (name.clone(), link_mbps(at)));
         relays.set_gateways("north", links);
         relays
@@ -34,14 +34,14 @@
     format!("gateway-{at}")
 }
 
-fn readers(hall: &[Relays<String>], now: Duration) -> Vec<usize> {
+fn readers(hall: &[RelaySelector<String>], now: Duration) -> Vec<usize> {
     let reads = |at: &usize| hall[*at].source(now) == Source::Store;
 
     (0..hall.len()).filter(reads).collect()
 }
 
 /// Gets the followers of each relay.
-fn followers(hall: &[Relays<String>], now: Duration) -> HashMap<String, usize> {
+fn followers(hall: &[RelaySelector<String>], now: Duration) -> HashMap<String, usize> {
     let mut followers = HashMap::new();
 
     for relays in hall {
@@ -83,7 +83,7 @@
     let hall = hall_of(4);
 
     assert_eq!(readers(&hall, MS(0)).len(), 4);
-    assert!(!hall[0].has_followers());
+    assert!(!hall[0].uses_relays());
 }
 
 #[test]
@@ -111,7 +111,7 @@
     let mut hall = hall_of(20);
     let readers = readers(&hall, MS(0));
     let asked = (0..20).find(|at| !readers.contains(at)).expect("a follower");
-    hall[asked].record_ask(MS(100));
+    hall[asked].record_follower(MS(100));
 
     assert_eq!(hall[asked].source(MS(4_000)), Source::Store);
     assert_ne!(hall[asked].source(MS(4_200)), Source::Store);
@@ -125,7 +125,7 @@
     hall[relay].record_store_failure(MS(0));
 
     assert!(matches!(hall[relay].source(MS(1)), Source::Relay(other) if other != name(relay)));
-    assert!(hall[relay].is_cut_off(MS(1)));
+    assert!(hall[relay].is_store_failing(MS(1)));
     assert_eq!(hall[relay].source(MS(2_500)), Source::Store, "it tries the store again");
 }
 
@@ -177,19 +177,19 @@
 #[test]
 fn a_feed_tells_what_changed_after_any_version_since_it_was_read() {
     let mut feed: Feed<TargetListing> = Feed::default();
-    assert_eq!(feed.since(0), Watched::HistoryGone, "nothing was read");
+    assert_eq!(feed.changes_after(0), Watched::HistoryGone, "nothing was read");
 
     feed.replace(first(10), MS(0));
     feed.extend(&changed(12, vec![set(11, 1, 4), set(12, 2, 4)]), MS(5));
     feed.extend(&changed(14, vec![removed(14, 1)]), MS(9));
 
-    assert_eq!(feed.since(9), Watched::HistoryGone);
+    assert_eq!(feed.changes_after(9), Watched::HistoryGone);
     let all = vec![set(11, 1, 4), set(12, 2, 4), removed(14, 1)];
-    assert_eq!(feed.since(10), changed(14, all));
-    assert_eq!(feed.since(12), changed(14, vec![removed(14, 1)]));
-    assert_eq!(feed.since(14), Watched::Quiet);
+    assert_eq!(feed.changes_after(10), changed(14, all));
+    assert_eq!(feed.changes_after(12), changed(14, vec![removed(14, 1)]));
+    assert_eq!(feed.changes_after(14), Watched::Quiet);
     // A relay that is behind its follower has nothing to tell.
-    assert_eq!(feed.since(20), Watched::Quiet);
+    assert_eq!(feed.changes_after(20), Watched::Quiet);
     assert_eq!(feed.age(MS(20)), MS(11));
 }
 
@@ -199,7 +199,7 @@
     assert_eq!(feed.state(), FeedState::Empty);
     feed.replace(first(1), MS(0));
     assert_eq!(feed.state(), FeedState::Fresh);
-    feed.fail();
+    feed.mark_stale();
     assert_eq!(feed.state(), FeedState::Stale);
     feed.extend(&Watched::Quiet, MS(30));
     assert_eq!((feed.state(), feed.age(MS(30))), (FeedState::Fresh, MS(0)));
--- a/grebedeck-gateway/tests/routes.rs
+++ b/grebedeck-gateway/tests/routes.rs
@@ -5,7 +5,7 @@
 use grebedeck_core::random::SeededSource;
 use grebedeck_gateway::routes::draw_service;
 use grebedeck_gateway::{
-    CallerLimits, Denied, Kind, Organisation, RouteRule, RouteTable, Site, Weighted,
+    CallerLimits, Denied, Organisation, RequestKind, RouteRule, RouteTable, Site, WeightedService,
 };
 
 fn rule(name: &str, path_prefix: &str) -> RouteRule {
@@ -13,12 +13,12 @@
         name: name.into(),
         host: "Api.Example".into(),
         path_prefix: path_prefix.into(),
-        kind: Kind::Safe,
+        kind: RequestKind::Safe,
         time_limit: Duration::from_secs(1),
         objective: Duration::from_millis(100),
         pause_limit: None,
         priority: 3,
-        services: vec![Weighted { service: "plain".into(), weight: 1 }],
+        services: vec![WeightedService { service: "plain".into(), weight: 1 }],
         max_targets: 2,
         is_public: false,
     }
@@ -82,7 +82,7 @@
 
 #[test]
 fn services_are_drawn_by_weight() {
-    let weighted = |service: &str, weight| Weighted { service: service.into(), weight };
+    let weighted = |service: &str, weight| WeightedService { service: service.into(), weight };
     let split = RouteRule {
         services: vec![weighted("a", 90), weighted("b", 10), weighted("c", 0)],
         ..rule("split", "/")
@@ -100,8 +100,8 @@
 #[test]
 fn services_whose_requests_differ_in_urgency_are_known() {
     let table = RouteTable::new(&site());
-    assert!(!table.ranks_requests("plain"), "two routes of one urgency");
-    assert!(!table.ranks_requests("other"));
+    assert!(!table.has_urgency_levels("plain"), "two routes of one urgency");
+    assert!(!table.has_urgency_levels("other"));
 
     let of_keys = |priorities: &[Option<u8>], routes: Vec<RouteRule>| {
         let organisations = priorities.iter().enumerate().map(|(at, priority)| Organisation {
@@ -112,17 +112,17 @@
         RouteTable::new(&Site { routes, organisations: organisations.collect(), ..site() })
     };
     let urgent = RouteRule { priority: 0, ..rule("urgent", "/u/") };
-    assert!(!of_keys(&[Some(1), Some(1)], vec![rule("a", "/a/")]).ranks_requests("plain"));
-    assert!(!of_keys(&[Some(1), None], vec![rule("a", "/a/")]).ranks_requests("plain"));
+    assert!(!of_keys(&[Some(1), Some(1)], vec![rule("a", "/a/")]).has_urgency_levels("plain"));
+    assert!(!of_keys(&[Some(1), None], vec![rule("a", "/a/")]).has_urgency_levels("plain"));
 
     let table = of_keys(&[Some(1), Some(1)], vec![rule("a", "/a/"), urgent]);
-    assert!(table.ranks_requests("plain"), "all keys have one rank, and the routes differ");
+    assert!(table.has_urgency_levels("plain"), "all keys have one rank, and the routes differ");
     let rank = |path: &str| {
         let admitted = table.admit("api.example", path, Some("k0")).expect("a known key");
         table.rank("plain", admitted.urgency())
     };
     assert_eq!((rank("/u/"), rank("/a/")), (Some(0), Some(1)));
-    assert!(table.outranks_some("plain", (1, 0)) && !table.outranks_some("plain", (1, 3)));
+    assert!(table.has_less_urgent("plain", (1, 0)) && !table.has_less_urgent("plain", (1, 3)));
 }
 
 #[test]
--- a/grebedeck/src/gateway/caller.rs
+++ b/grebedeck/src/gateway/caller.rs
@@ -205,7 +205,7 @@
     let answer = WholeAnswer::denied(reason, request, &gateway.names);
     let trace = Trace::new(request.id(&gateway.names), request.arrived);
     trace.add(gateway.now(), Decision::Denied { reason, version });
-    gateway.counters.refusals.add(reason.word());
+    gateway.counters.refusals.add(reason.label());
     gateway.note_end(&trace, answer.end(), false);
 
     answer
--- a/grebedeck/src/gateway/halls.rs
+++ b/grebedeck/src/gateway/halls.rs
@@ -9,7 +9,7 @@
 use grebedeck_core::error::platform_error;
 use grebedeck_core::{Moment, Result};
 use grebedeck_gateway::{
-    Evacuations, HallEvent, HallWords, OperatorChange, OperatorState, Snapshot, StoreVersion,
+    Evacuations, HallEvent, HallStatuses, OperatorChange, OperatorState, Snapshot, StoreVersion,
     Unreadable,
 };
 use grebedeck_kernel::log;
@@ -67,7 +67,9 @@
         let Snapshot { version, value: OperatorState { site, evacuated, unreadable } } = snapshot;
         let known_at = asked_at.saturating_sub(self.relay.operator_age());
         let since = self.operator.current_at.replace(Some(known_at));
-        self.take_halls("store", |halls, now| halls.take_snapshot(version, &evacuated, since, now));
+        self.take_halls("store", |halls, now| {
+            halls.apply_snapshot(version, &evacuated, since, now)
+        });
         self.operator.knows_halls.set(true);
         unreadable.iter().for_each(|what| self.note_unreadable_key(what));
 
@@ -90,12 +92,12 @@
                 }
                 OperatorChange::Evacuated { version, hall } => {
                     self.take_halls("store", |halls, now| {
-                        halls.take_change(version, &hall, true, now)
+                        halls.apply_change(version, &hall, true, now)
                     });
                 }
-                OperatorChange::TakenBack { version, hall } => {
+                OperatorChange::Reopened { version, hall } => {
                     self.take_halls("store", |halls, now| {
-                        halls.take_change(version, &hall, false, now)
+                        halls.apply_change(version, &hall, false, now)
                     });
                 }
                 OperatorChange::Unreadable(what) => self.note_unreadable_key(&what),
@@ -113,15 +115,15 @@
     }
 
     /// Gets what is known of halls, for other gateways.
-    pub fn hall_words(&self) -> HallWords {
+    pub fn hall_words(&self) -> HallStatuses {
         let now = self.now();
 
-        self.with_targets(|targets| targets.evacuations().words(now))
+        self.with_targets(|targets| targets.evacuations().statuses(now))
     }
 
     /// Takes in what another gateway knows of halls.
-    pub fn take_hall_words(&self, words: &HallWords) {
-        self.take_halls("peer", |halls, now| halls.take_words(words, now));
+    pub fn take_hall_words(&self, words: &HallStatuses) {
+        self.take_halls("peer", |halls, now| halls.merge(words, now));
 
         if words.version > 0 {
             self.operator.knows_halls.set(true);
@@ -173,14 +175,14 @@
                     hall = hall.as_str(), version = *version, from,
                 });
             }
-            HallEvent::TakenBack { hall, version } => {
+            HallEvent::Reopened { hall, version } => {
                 self.counters.hall_news.add("taken_back");
                 log::info!("hall taken back", kv: {
                     hall = hall.as_str(), version = *version, from,
                 });
                 self.suspect_starts_in(hall);
             }
-            HallEvent::LeftOut { hall, version } => {
+            HallEvent::Dropped { hall, version } => {
                 self.counters.hall_news.add("left_out");
                 self.note_unreadable_key(&Unreadable {
                     version: *version,
--- a/grebedeck/src/gateway/hold.rs
+++ b/grebedeck/src/gateway/hold.rs
@@ -46,7 +46,7 @@
 pub fn give_up_at(gateway: &Gateway, request: &RoutedRequest, start_by: Moment) -> Moment {
     let (service, rule) = (&request.service, &request.admitted.rule);
     let table = gateway.table();
-    let outranks = table.outranks_some(service, request.admitted.urgency());
+    let outranks = table.has_less_urgent(service, request.admitted.urgency());
 
     if !gateway.is_ranked(service) || !outranks {
         return start_by;
--- a/grebedeck/src/gateway/limits.rs
+++ b/grebedeck/src/gateway/limits.rs
@@ -7,8 +7,8 @@
 
 use event_listener::Event;
 use grebedeck_core::{Moment, ServiceName};
-use grebedeck_gateway::limit::{LimitChange, named_limit};
-use grebedeck_gateway::quota::Demand;
+use grebedeck_gateway::limit::{LimitChange, announced_limit};
+use grebedeck_gateway::quota::DemandCounter;
 use grebedeck_gateway::{Limits, Permit, TargetEntry, Verdict};
 use grebedeck_http::ResponseHead;
 use grebedeck_kernel::log;
@@ -27,7 +27,7 @@
 pub struct LimitState {
     pub(super) limits: RefCell<Limits>,
     /// Requests for services that have targets with limits.
-    pub(super) demand: RefCell<HashMap<ServiceName, Demand>>,
+    pub(super) demand: RefCell<HashMap<ServiceName, DemandCounter>>,
     /// Told when there may be something to ask coordinators.
     pub(super) changed: Event,
     lines: RefCell<LineBudget>,
@@ -64,7 +64,7 @@
             return;
         }
 
-        let named = named_limit(head.headers.all(self.names.limit));
+        let named = announced_limit(head.headers.all(self.names.limit));
         let is_good = verdict == Verdict::Pass && head.is_success();
         let now = self.now();
         let change = self.limits.limits.borrow_mut().observe(target, named, is_good, sent_at, now);
@@ -150,7 +150,7 @@
     /// Tells whether a request with a permit may still be sent, and counts it.
     pub(super) fn use_permit(&self, target: &TargetEntry, permit: Permit) -> bool {
         let is_limited = self.limits.limits.borrow().is_limited(target);
-        let is_sent = self.limits.limits.borrow_mut().send(target, permit, self.now());
+        let is_sent = self.limits.limits.borrow_mut().confirm_send(target, permit, self.now());
 
         if is_limited {
             self.counters.limits.add(if is_sent { "sent" } else { "withdrawn" });
--- a/grebedeck/src/gateway/options.rs
+++ b/grebedeck/src/gateway/options.rs
@@ -388,7 +388,7 @@
     }
 
     pub fn evacuate_ms() -> u64 {
-        grebedeck_gateway::evacuation::DEFAULT_BOUND.as_millis() as u64
+        grebedeck_gateway::evacuation::DEFAULT_EVACUATION_BOUND.as_millis() as u64
     }
 
     pub fn leave_ms() -> u64 {
--- a/grebedeck/src/gateway/peers.rs
+++ b/grebedeck/src/gateway/peers.rs
@@ -13,7 +13,7 @@
 use grebedeck_core::time::unix_ms;
 use grebedeck_core::{Error, Moment, RandomSource, Result};
 use grebedeck_gateway::{
-    GatewayEntry, GatewayInfo, GatewayListing, HallWords, Site, SiteStore, StoreVersion,
+    GatewayEntry, GatewayInfo, GatewayListing, HallStatuses, Site, SiteStore, StoreVersion,
     TargetListing,
 };
 use grebedeck_http::{Client, RequestHead};
@@ -55,7 +55,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 struct PeerState {
     site: Option<Site>,
-    halls: HallWords,
+    halls: HallStatuses,
     targets_version: StoreVersion,
     targets: TargetListing,
 }
--- a/grebedeck/src/gateway/quota.rs
+++ b/grebedeck/src/gateway/quota.rs
@@ -156,7 +156,7 @@
         let partition = |partition: usize| {
             json!({
                 "coordinator": coordinators.coordinator(partition, now).to_string(),
-                "own_part": coordinators.part(partition, now),
+                "own_part": coordinators.limit_fraction(partition, now),
             })
         };
         let partitions: Vec<serde_json::Value> = (0..PARTITIONS).map(partition).collect();
@@ -198,7 +198,7 @@
             // One that was asked so long ago may have answered while this instance stood still.
             let is_recent = now < at + PERMIT_LIFETIME + EXCHANGE_PERIOD * 2;
 
-            if is_recent && self.quota.coordinators.borrow_mut().missed(gateway, now) {
+            if is_recent && self.quota.coordinators.borrow_mut().record_timeout(gateway, now) {
                 log::warn!("coordinator silent", kv: { gateway = gateway.to_string() });
             }
         }
@@ -208,7 +208,7 @@
     fn grant_quota(&self, from: GatewayAddress, demands: &[QuotaDemand]) -> Vec<QuotaGrant> {
         let now = self.now();
         let coordinators = self.quota.coordinators.borrow();
-        let part = |target: &str| coordinators.part(partition_of(target), now);
+        let part = |target: &str| coordinators.limit_fraction(partition_of(target), now);
         let mut ledger = self.quota.ledger.borrow_mut();
 
         for demand in demands {
@@ -232,7 +232,7 @@
     }
 
     fn apply_response(&self, from: GatewayAddress, sequence: u64, grants: &[QuotaGrant]) {
-        if self.quota.coordinators.borrow_mut().answered(from, self.now()) {
+        if self.quota.coordinators.borrow_mut().record_answer(from, self.now()) {
             log::info!("coordinator answers again", kv: { gateway = from.to_string() });
         }
 
--- a/grebedeck/src/gateway/relay.rs
+++ b/grebedeck/src/gateway/relay.rs
@@ -1,6 +1,6 @@
 //! Following the store through a relay, and being one.
 //!
-//! [`RelayedStore`] stands in for the store: it asks whom [`Relays`] names, and keeps what it reads from the store itself
+//! [`RelayedStore`] stands in for the store: it asks whom [`RelaySelector`] names, and keeps what it reads from the store itself
 //! in feeds, from which others are answered. A watch of a relay waits for a change as one of the store does. A relay whose
 //! own call to the store has failed says so at once, so that its followers lose no time.
 
@@ -19,9 +19,9 @@
 use grebedeck_core::{Error, Moment, Result, UnixMs};
 use grebedeck_gateway::source::{QuarantineEntry, QuarantineListing};
 use grebedeck_gateway::{
-    Feed, FeedState, Fold, GatewayEntry, GatewayListing, OperatorChange, OperatorState,
-    RelayOptions, Relays, SiteStore, Snapshot, Source, StoreVersion, TargetChange, TargetListing,
-    Watched,
+    ApplyChange, Feed, FeedState, GatewayEntry, GatewayListing, OperatorChange, OperatorState,
+    RelayOptions, RelaySelector, SiteStore, Snapshot, Source, StoreVersion, TargetChange,
+    TargetListing, Watched,
 };
 use grebedeck_http::{Client, RequestHead};
 use grebedeck_kernel::log;
@@ -61,7 +61,7 @@
 
 /// What a gateway has for others that follow it, and whom it follows itself.
 pub struct RelayState {
-    relays: RefCell<Relays<SocketAddr>>,
+    relays: RefCell<RelaySelector<SocketAddr>>,
     operator: RefCell<Feed<OperatorState>>,
     targets: RefCell<Feed<TargetListing>>,
     gateways: RefCell<Option<(Digest, GatewayListing)>>,
@@ -84,7 +84,7 @@
     /// Makes the state of a gateway that knows no other.
     pub fn new(own: SocketAddr) -> Self {
         RelayState {
-            relays: RefCell::new(Relays::new(own, RelayOptions::default())),
+            relays: RefCell::new(RelaySelector::new(own, RelayOptions::default())),
             operator: RefCell::default(),
             targets: RefCell::default(),
             gateways: RefCell::default(),
@@ -105,7 +105,7 @@
 
     /// Tells whether others may follow this gateway.
     pub fn has_followers(&self) -> bool {
-        self.relays.borrow().has_followers()
+        self.relays.borrow().uses_relays()
     }
 
     /// Gets how long ago the store confirmed what is known of what operators have written.
@@ -170,7 +170,7 @@
 
     /// Notes that another gateway asks this one, and has it read the store where it has no answer.
     fn record_ask(&self, has_answer: bool, now: Moment) {
-        self.relays.borrow_mut().record_ask(now);
+        self.relays.borrow_mut().record_follower(now);
 
         if !has_answer {
             self.asked.notify(usize::MAX);
@@ -189,7 +189,9 @@
 }
 
 /// State that the store holds and that a relay passes on.
-trait Followed: Fold<Change: Serialize + DeserializeOwned> + Serialize + DeserializeOwned {
+trait Followed:
+    ApplyChange<Change: Serialize + DeserializeOwned> + Serialize + DeserializeOwned
+{
     /// Where relays answer.
     const PATH: &'static str;
 
@@ -327,7 +329,7 @@
             // Buffer also where nobody follows yet: who is asked for the first time has an answer at once.
             match &read {
                 Ok(snapshot) => feed.replace(snapshot.clone(), self.gateway.now()),
-                Err(_) => feed.fail(),
+                Err(_) => feed.mark_stale(),
             }
 
             drop(feed);
@@ -372,7 +374,7 @@
         match &watched {
             Ok(watched) => feed.borrow_mut().extend(watched, self.gateway.now()),
             Err(_) => {
-                feed.borrow_mut().fail();
+                feed.borrow_mut().mark_stale();
                 self.state().record_store_failure(self.gateway.now());
             }
         }
@@ -599,7 +601,7 @@
     // A process that was suspended has not noticed yet that its watch is over.
     let is_old = age > gateway.settings().relay_age_limit();
 
-    let is_cut_off = gateway.relay.relays.borrow().is_cut_off(gateway.now());
+    let is_cut_off = gateway.relay.relays.borrow().is_store_failing(gateway.now());
 
     match feed.state() {
         FeedState::Empty if !is_last && !is_cut_off => return None,
@@ -607,7 +609,7 @@
         _ => return Some(Page::empty(503)),
     }
 
-    match after.map(|after| feed.since(after)) {
+    match after.map(|after| feed.changes_after(after)) {
         None => feed.read().map(|snapshot| page(age, &snapshot)),
         Some(Watched::Quiet) if !is_last => None,
         Some(watched) => Some(page(age, &watched)),
--- a/grebedeck/src/gateway/service.rs
+++ b/grebedeck/src/gateway/service.rs
@@ -195,7 +195,7 @@
 
     /// Tells whether requests for a service are served by urgency.
     pub fn is_ranked(&self, service: &str) -> bool {
-        self.uses(Mechanism::UrgencyOrder) && self.table.borrow().ranks_requests(service)
+        self.uses(Mechanism::UrgencyOrder) && self.table.borrow().has_urgency_levels(service)
     }
 
     /// Gets the configuration in force.
--- a/grebedeck/src/gateway/stream.rs
+++ b/grebedeck/src/gateway/stream.rs
@@ -11,7 +11,7 @@
 use bytes::Bytes;
 use futures::FutureExt;
 use grebedeck_core::Moment;
-use grebedeck_gateway::{EventBuffer, Kind, TargetEntry};
+use grebedeck_gateway::{EventBuffer, RequestKind, TargetEntry};
 use grebedeck_http::{Connection, ResponseHead, write_chunk};
 
 use super::attempt;
@@ -281,7 +281,7 @@
     }
 
     fn is_resumable(&self) -> bool {
-        self.request.admitted.rule.kind == Kind::Stream { is_resumable: true }
+        self.request.admitted.rule.kind == RequestKind::Stream { is_resumable: true }
     }
 
     /// Passes the whole events on that a part completes; tells whether the caller takes them.
--- a/grebedeck/src/gateway/trace.rs
+++ b/grebedeck/src/gateway/trace.rs
@@ -248,7 +248,7 @@
             }
             Decision::Denied { reason, version } => {
                 log::info!("request denied", kv: {
-                    request, at_ms, reason = reason.word(), config_version = *version,
+                    request, at_ms, reason = reason.label(), config_version = *version,
                 });
             }
             Decision::Chosen { target, load, places, load_age, allowed, last_event_id } => {
--- a/grebedeck/src/gateway/waiting.rs
+++ b/grebedeck/src/gateway/waiting.rs
@@ -93,7 +93,7 @@
         });
 
         for (service, line) in lines.iter_mut() {
-            let is_ranked = by_urgency && table.ranks_requests(service);
+            let is_ranked = by_urgency && table.has_urgency_levels(service);
             line.queue.set_options(options(table, is_ranked, service));
         }
     }
--- a/grebedeck/src/gateway/writer.rs
+++ b/grebedeck/src/gateway/writer.rs
@@ -4,7 +4,7 @@
 
 use async_std::future::timeout;
 use grebedeck_core::Moment;
-use grebedeck_gateway::reader::{Reader, Waiting};
+use grebedeck_gateway::reader::{WriteTimeouts, WriteWait};
 use grebedeck_http::Connection;
 
 use super::service::Gateway;
@@ -45,25 +45,25 @@
     mut bytes: &[u8],
     until: Moment,
 ) -> Written {
-    let mut reader = Reader::new(STALL_LIMIT, until, gateway.now());
+    let mut reader = WriteTimeouts::new(STALL_LIMIT, until, gateway.now());
 
     while !bytes.is_empty() {
         // What is taken at once is written also where the time is over, such as after a freeze of this process.
-        let left = match reader.waiting(gateway.now()) {
-            Waiting::For(left) => left,
-            Waiting::Stalled | Waiting::TimedOut => Duration::ZERO,
+        let left = match reader.remaining(gateway.now()) {
+            WriteWait::For(left) => left,
+            WriteWait::Stalled | WriteWait::TimedOut => Duration::ZERO,
         };
 
         match timeout(left, connection.write_some(bytes)).await {
             Ok(Ok(taken)) => {
                 bytes = &bytes[taken..];
-                reader.took(gateway.now());
+                reader.record_progress(gateway.now());
             }
             Ok(Err(_)) => return Written::Gone,
-            Err(_) => match reader.waiting(gateway.now()) {
-                Waiting::For(_) => {}
-                Waiting::Stalled => return Written::Stalled,
-                Waiting::TimedOut => return Written::TimedOut,
+            Err(_) => match reader.remaining(gateway.now()) {
+                WriteWait::For(_) => {}
+                WriteWait::Stalled => return Written::Stalled,
+                WriteWait::TimedOut => return Written::TimedOut,
             },
         }
     }
--- a/grebedeck/tests/lone/mod.rs
+++ b/grebedeck/tests/lone/mod.rs
@@ -4,7 +4,7 @@
 
 use grebedeck::gateway::GatewaySettings;
 use grebedeck::settings::parse;
-use grebedeck_gateway::{HeaderNames, Kind, RouteRule};
+use grebedeck_gateway::{HeaderNames, RequestKind, RouteRule};
 
 /// Settings of a gateway that nobody can reach.
 const SETTINGS: &str = r#"{
@@ -45,7 +45,7 @@
         name: "notes".to_string(),
         host: "a.example".to_string(),
         path_prefix: "/".to_string(),
-        kind: Kind::Stream { is_resumable: true },
+        kind: RequestKind::Stream { is_resumable: true },
         time_limit: Duration::from_secs(8),
         objective: Duration::from_millis(500),
         pause_limit: Some(Duration::from_millis(120)),
