--- a/grebedeck-gateway/src/coordinator.rs
+++ b/grebedeck-gateway/src/coordinator.rs
@@ -1,11 +1,14 @@
-//! Which gateway gives out the permits for targets that name a limit.
+//! Election of the gateway that issues permits for targets with a rate limit.
 //!
-//! Targets are dealt to partitions, and each partition has one coordinator: the first gateway in the order of a hash that is
-//! not silent. All derive it from the same list of gateways, so nothing is agreed. Two gateways may still take themselves
-//! for the coordinator at once: while a list is on its way, or where some of the others cannot reach the first. So a gateway gives
-//! out the whole limit only once it has led its partition for as long as a list takes to reach all; before that, a small part.
+//! Targets are hashed into partitions, and each partition has one coordinator: the first gateway in
+//! rendezvous-hash order that answers. Every gateway derives it from the same list of gateways, so
+//! no consensus protocol is needed. Two gateways may still both act as coordinator, while a new
+//! list is spreading or where some gateways cannot reach the first one. A gateway therefore issues
+//! the whole limit only after it has been coordinator for as long as a list takes to reach all
+//! gateways. Before that it issues a small fraction.
 //!
-//! The number of partitions, and not that of targets or gateways, bounds how many coordinators one gateway asks.
+//! The number of coordinators that one gateway queries is bounded by the number of partitions, not
+//! by that of targets or gateways.
 
 use std::collections::{BTreeSet, HashMap};
 use std::net::IpAddr;
@@ -14,64 +17,66 @@
 use grebedeck_core::Moment;
 use grebedeck_core::digest::{digest, rendezvous};
 
-/// Partitions of the targets.
+/// Number of partitions that targets are hashed into.
 pub const PARTITIONS: usize = 8;
-/// How long a list of gateways may take to reach all of them: each reads it every 10 s, and some of them a call late.
+/// Time in which a list of gateways reaches all of them: each reads it every 10 s, and some
+/// learn of a change one call late.
 pub const SETTLE_TIME: Duration = Duration::from_secs(15);
-/// Asks in a row that a silent gateway leaves unanswered: a single datagram may be lost.
-const MAX_MISSES: u32 = 2;
-/// How long a silent gateway is not asked, after each time that it left an ask unanswered.
-const PASSED_OVER: Duration = Duration::from_secs(10);
-/// Most times as long: rows of gateways that are gone stay in the list.
-const MAX_PASSED_OVER: u32 = 6;
-/// Part of a limit that is given out by a gateway that may not be the only one to do so.
-const UNSETTLED_PART: f64 = 0.2;
-
-/// A gateway, by the address of its instance.
+/// Consecutive timeouts after which a gateway is unresponsive: a single datagram may be lost.
+const MAX_TIMEOUTS: u32 = 2;
+/// Backoff for an unresponsive gateway, added after each further timeout.
+const BACKOFF_STEP: Duration = Duration::from_secs(10);
+/// Upper bound of the backoff, in steps: rows of gateways that are gone stay in the list.
+const MAX_BACKOFF_STEPS: u32 = 6;
+/// Fraction of a limit that a coordinator issues while another gateway may also be coordinator.
+const UNSETTLED_FRACTION: f64 = 0.2;
+
+/// Address of a gateway's instance.
 pub type GatewayAddress = IpAddr;
-/// Number of a partition.
+/// Index of a partition, below [`PARTITIONS`].
 pub type Partition = usize;
 
-/// Gets the partition of a target.
+/// Partition that a target is hashed into.
 pub fn partition_of(target: &str) -> Partition {
     (digest(target.as_bytes()) % PARTITIONS as u64) as Partition
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Silence {
-    misses: u32,
-    passed_over_until: Moment,
+struct Timeouts {
+    consecutive: u32,
+    retry_at: Moment,
 }
 
-impl Silence {
-    fn is_silent(self) -> bool {
-        self.misses >= MAX_MISSES
+impl Timeouts {
+    fn is_unresponsive(self) -> bool {
+        self.consecutive >= MAX_TIMEOUTS
     }
 }
 
-/// The coordinators of all partitions, as one gateway sees them.
+/// Coordinators of all partitions, from one gateway's view.
 #[derive(Clone, Debug)]
 pub struct Coordinators {
     own: GatewayAddress,
-    /// Whether the list was once read without this gateway, so that others may not know it.
-    was_missing: bool,
+    /// Whether some list lacked this gateway, so that others may not know it.
+    was_unlisted: bool,
     is_listed: bool,
-    /// Gateways in the order in which they coordinate, by partition.
+    /// Order of succession of each partition's coordinators.
     orders: Vec<Vec<GatewayAddress>>,
-    silent: HashMap<GatewayAddress, Silence>,
-    /// From when this gateway is sure to be the only coordinator; `None` while it is none.
+    timeouts: HashMap<GatewayAddress, Timeouts>,
+    /// When this gateway becomes the sole coordinator of each partition; `None` where it is not
+    /// one.
     settled_from: [Option<Moment>; PARTITIONS],
 }
 
 impl Coordinators {
-    /// Makes them for a gateway that knows no other.
+    /// Starts with `own` as the only known gateway.
     pub fn new(own: GatewayAddress) -> Self {
         let mut coordinators = Coordinators {
             own,
-            was_missing: false,
+            was_unlisted: false,
             is_listed: false,
             orders: Vec::new(),
-            silent: HashMap::new(),
+            timeouts: HashMap::new(),
             settled_from: [None; PARTITIONS],
         };
         coordinators.set_order(BTreeSet::new());
@@ -79,7 +84,7 @@
         coordinators
     }
 
-    /// Takes in the gateways that are known; `listed` tells whether the list as it was read names this one.
+    /// Replaces the list of gateways; `listed` tells whether the list as read contains this one.
     pub fn set_gateways(
         &mut self,
         others: impl IntoIterator<Item = GatewayAddress>,
@@ -89,67 +94,69 @@
         self.set_order(others.into_iter().collect());
         let is_alone = self.orders[0].len() == 1;
         let is_first = listed && !std::mem::replace(&mut self.is_listed, listed);
-        self.was_missing |= !listed && !is_alone;
+        self.was_unlisted |= !listed && !is_alone;
 
         if is_first {
-            // Its row was there before it started, so the others know it.
-            let from = if self.was_missing { now + SETTLE_TIME } else { now };
+            // Its row was there before it started, so the others know it already.
+            let from = if self.was_unlisted { now + SETTLE_TIME } else { now };
             self.settled_from = [Some(from); PARTITIONS];
         }
 
-        self.update_leads(now);
+        self.update_settled(now);
     }
 
-    /// Gets the gateway to ask for permits.
+    /// Gateway to request permits from: the first one that is responsive or due for another try.
     pub fn coordinator(&self, partition: Partition, now: Moment) -> GatewayAddress {
-        let is_asked = |gateway: &&GatewayAddress| {
-            self.silent.get(*gateway).is_none_or(|s| !s.is_silent() || now >= s.passed_over_until)
+        let is_eligible = |gateway: &&GatewayAddress| {
+            self.timeouts.get(*gateway).is_none_or(|t| !t.is_unresponsive() || now >= t.retry_at)
         };
 
-        // It never passes itself over.
-        self.orders[partition].iter().find(is_asked).copied().unwrap_or(self.own)
+        // The gateway itself is always eligible.
+        self.orders[partition].iter().find(is_eligible).copied().unwrap_or(self.own)
     }
 
-    /// Gets the part of a limit that this gateway may give out.
+    /// Fraction of a limit that this gateway may issue.
     pub fn limit_fraction(&self, partition: Partition, now: Moment) -> f64 {
         let is_settled = self.settled_from[partition].is_some_and(|from| now >= from);
 
-        if is_settled { 1.0 } else { UNSETTLED_PART }
+        if is_settled { 1.0 } else { UNSETTLED_FRACTION }
     }
 
-    /// Tells whether this gateway coordinates a partition, for all that it knows.
+    /// Whether this gateway is a partition's coordinator, as far as it knows.
     pub fn is_coordinator(&self, partition: Partition) -> bool {
-        let is_heard = |gateway: &&GatewayAddress| {
-            self.silent.get(*gateway).is_none_or(|silence| !silence.is_silent())
+        let is_responsive = |gateway: &&GatewayAddress| {
+            self.timeouts.get(*gateway).is_none_or(|timeouts| !timeouts.is_unresponsive())
         };
 
-        self.orders[partition].iter().find(is_heard) == Some(&self.own)
+        self.orders[partition].iter().find(is_responsive) == Some(&self.own)
     }
 
-    /// Notes that a gateway did not answer; tells whether it is silent since then.
+    /// Records that a gateway did not answer in time. Returns whether this made it unresponsive.
     pub fn record_timeout(&mut self, gateway: GatewayAddress, now: Moment) -> bool {
-        let silence = self.silent.entry(gateway).or_default();
-        silence.misses = silence.misses.saturating_add(1);
-        let (is_silent, is_new) = (silence.is_silent(), silence.misses == MAX_MISSES);
-
-        if is_silent {
-            let times = (silence.misses - MAX_MISSES + 1).min(MAX_PASSED_OVER);
-            silence.passed_over_until = now + PASSED_OVER * times;
-            self.update_leads(now);
+        let timeouts = self.timeouts.entry(gateway).or_default();
+        timeouts.consecutive = timeouts.consecutive.saturating_add(1);
+        let (is_unresponsive, is_new) =
+            (timeouts.is_unresponsive(), timeouts.consecutive == MAX_TIMEOUTS);
+
+        if is_unresponsive {
+            let steps = (timeouts.consecutive - MAX_TIMEOUTS + 1).min(MAX_BACKOFF_STEPS);
+            timeouts.retry_at = now + BACKOFF_STEP * steps;
+            self.update_settled(now);
         }
 
         is_new
     }
 
-    /// Notes that a gateway answered; tells whether it was silent before.
+    /// Records an answer of a gateway. Returns whether it was unresponsive before.
     pub fn record_answer(&mut self, gateway: GatewayAddress, now: Moment) -> bool {
-        let was_silent = self.silent.remove(&gateway).is_some_and(Silence::is_silent);
+        let was_unresponsive =
+            self.timeouts.remove(&gateway).is_some_and(Timeouts::is_unresponsive);
 
-        if was_silent {
-            self.update_leads(now);
+        if was_unresponsive {
+            self.update_settled(now);
         }
 
-        was_silent
+        was_unresponsive
     }
 
     fn set_order(&mut self, mut gateways: BTreeSet<GatewayAddress>) {
@@ -162,15 +169,15 @@
             order
         };
         self.orders = (0..PARTITIONS).map(order).collect();
-        self.silent.retain(|gateway, _| gateways.contains(gateway));
+        self.timeouts.retain(|gateway, _| gateways.contains(gateway));
     }
 
-    fn update_leads(&mut self, now: Moment) {
+    fn update_settled(&mut self, now: Moment) {
         for partition in 0..PARTITIONS {
-            let leads = self.is_listed && self.is_coordinator(partition);
+            let is_coordinator = self.is_listed && self.is_coordinator(partition);
             let settled_from = &mut self.settled_from[partition];
 
-            if leads {
+            if is_coordinator {
                 settled_from.get_or_insert(now + SETTLE_TIME);
             } else {
                 *settled_from = None;
--- a/grebedeck-gateway/src/feed.rs
+++ b/grebedeck-gateway/src/feed.rs
@@ -1,8 +1,10 @@
-//! What one process has read from the store, kept so that others can follow it there.
+//! Cache of what one process has read from the store, from which other processes can follow the
+//! store.
 //!
-//! A feed answers as the store does: with the whole state of one version, or with the changes after a version. Versions
-//! are the store's, so whoever follows can go on from any feed, and from the store itself, where it stopped at another.
-//! Changes that come twice that way are told apart by their versions.
+//! A feed answers as the store does: with the whole state at one version, or with the changes after
+//! a version. Versions are the store's, so a follower can continue from any feed, or from the
+//! store, where it stopped at another. It may receive a change twice that way; the version of the
+//! change tells.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -12,15 +14,15 @@
 use crate::source::{OperatorChange, OperatorState, Snapshot, StoreVersion, TargetChange, Watched};
 use crate::targets::TargetListing;
 
-/// Changes that a feed keeps for those that follow it; whoever is further behind reads the whole state.
+/// Most changes kept for followers; a follower that is further behind reads the whole state.
 const MAX_CHANGES: usize = 4096;
 
-/// State that follows from its changes.
+/// State that is updated by changes.
 pub trait ApplyChange: Clone {
-    /// One change.
+    /// A change of the state.
     type Change: Clone;
 
-    /// Puts a change into the state.
+    /// Applies a change.
     fn apply(&mut self, change: Self::Change);
 }
 
@@ -62,10 +64,10 @@
     }
 }
 
-/// Whether what a feed holds is what the store holds.
+/// Whether a feed is up to date with the store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum FeedState {
-    /// Nothing was read yet.
+    /// Nothing has been read yet.
     #[default]
     Empty,
     /// The last call to the store was answered.
@@ -74,15 +76,15 @@
     Stale,
 }
 
-/// What was read last, and the changes since.
+/// State that was read from the store, and the latest changes to it.
 #[derive(Clone, Debug)]
 pub struct Feed<T: ApplyChange> {
     state: FeedState,
-    /// The state as of the changes that are not kept any more.
+    /// State before the kept changes.
     base: Option<Snapshot<T>>,
     changes: VecDeque<(StoreVersion, T::Change)>,
     version: StoreVersion,
-    /// When the store last confirmed it.
+    /// When the store last answered.
     confirmed_at: Moment,
 }
 
@@ -99,7 +101,7 @@
 }
 
 impl<T: ApplyChange> Feed<T> {
-    /// Notes the whole state, as the store has it.
+    /// Replaces the whole state by one that was read from the store.
     pub fn replace(&mut self, snapshot: Snapshot<T>, now: Moment) {
         self.confirm(now);
         self.version = snapshot.version;
@@ -107,7 +109,7 @@
         self.base = Some(snapshot);
     }
 
-    /// Notes what a watch of the store has brought.
+    /// Records the result of a watch of the store; does nothing before the first read.
     pub fn extend(&mut self, watched: &Watched<T::Change>, now: Moment) {
         if self.base.is_none() {
             return;
@@ -122,27 +124,27 @@
         self.compact();
     }
 
-    /// Notes that a call to the store has failed.
+    /// Records that a call to the store failed.
     pub fn mark_stale(&mut self) {
         self.state = FeedState::Stale;
     }
 
-    /// Drops all, as the store is not read any more.
+    /// Drops everything when this process stops reading the store.
     pub fn clear(&mut self) {
         *self = Feed::default();
     }
 
-    /// Gets whether the feed is what the store has.
+    /// Whether the feed is up to date.
     pub fn state(&self) -> FeedState {
         self.state
     }
 
-    /// Gets the time since the store last confirmed what the feed holds.
+    /// Time since the store last confirmed the contents.
     pub fn age(&self, now: Moment) -> Duration {
         now.saturating_sub(self.confirmed_at)
     }
 
-    /// Gets the whole state.
+    /// The whole state at the newest version; `None` before the first read.
     pub fn read(&self) -> Option<Snapshot<T>> {
         let mut snapshot = self.base.clone()?;
         snapshot.version = self.version;
@@ -154,7 +156,7 @@
         Some(snapshot)
     }
 
-    /// Gets the changes after a version.
+    /// Changes after a version, or [`Watched::HistoryGone`] if some of them are no longer kept.
     pub fn changes_after(&self, after: StoreVersion) -> Watched<T::Change> {
         match &self.base {
             Some(base) if after >= base.version => {}
@@ -175,7 +177,8 @@
         self.confirmed_at = now;
     }
 
-    /// Puts the oldest changes into the state, where there are too many. Changes of one version stay together.
+    /// Folds the oldest changes beyond [`MAX_CHANGES`] into the base. Changes of one version stay
+    /// together.
     fn compact(&mut self) {
         let Some(base) = &mut self.base else {
             return;
