--- a/grebedeck-gateway/src/limit.rs
+++ b/grebedeck-gateway/src/limit.rs
@@ -1,12 +1,15 @@
-//! Rates of requests that targets take from all gateways together, as they name them in their answers.
+//! Request rates that targets accept from all gateways together, as they announce them in their
+//! answers.
 //!
-//! A target names its limit in each answer for as long as it needs one. An answer without it ends the limit, but only
-//! where its request was sent after the limit was heard of: answers overtake each other. A limit is that of one start of a
-//! target. It has no lifetime of its own: while it is in force some requests still go there, and the first answer without
-//! it ends it. So a gateway keeps it for as long as the target is there, whether it hears of it or not.
+//! A target announces its limit in each answer for as long as it needs one. An answer without a
+//! limit ends it, but only where the request was sent after the gateway learned of the limit, as
+//! answers overtake each other. A limit belongs to one start of a target. It has no lifetime of its
+//! own: while it is in force some requests still go there, and the first answer without it ends it.
+//! So a gateway keeps the limit for as long as the target is listed, whether it is repeated or not.
 //!
-//! A request to such a target takes a permit, of which the target's [coordinator](crate::coordinator) gives each gateway
-//! its [part](crate::quota). Whatever way a request takes, it asks here twice: when its target is chosen, and when it is sent.
+//! A request to such a target takes a permit. The target's [coordinator](crate::coordinator) issues
+//! each gateway its [share](crate::quota) of them. Every request is checked twice: when its target
+//! is chosen, and when it is sent.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -17,55 +20,56 @@
 use crate::quota::{QuotaDemand, QuotaGrant};
 use crate::targets::{TargetEntry, TargetId};
 
-/// Requests a second.
+/// Rate in requests per second.
 pub type RatePerS = f64;
 
-/// Lowest limit that is kept to, in requests a second. A target must be asked now and then, or the end of its limit would
-/// never be heard of.
+/// Lowest limit that is applied, in requests per second. A target must get a request now and then,
+/// or gateways would never learn that its limit has ended.
 pub const MIN_LIMIT_PER_S: RatePerS = 0.05;
-/// Highest limit that is believed, in requests a second; more than one target serves.
+/// Highest limit that is accepted as valid, in requests per second; more than one target serves.
 pub const MAX_LIMIT_PER_S: RatePerS = 100_000.0;
 
-/// For how long a change is told to the coordinator, whether permits are wanted or not: some asks, as one may be lost.
-const PUBLISH_FOR: Duration = Duration::from_millis(1500);
-/// How long the end of a limit is remembered, against older news of it.
-const END_MEMORY: Duration = Duration::from_secs(30);
+/// How long a change is sent to the coordinator, with or without demand for permits: several
+/// requests, as one may be lost.
+const PUBLISH_DURATION: Duration = Duration::from_millis(1500);
+/// How long the end of a limit is kept, so that a stale message does not restore the limit.
+const END_RETENTION: Duration = Duration::from_secs(30);
 
-/// Age from which on news are taken to be equally old.
-const OLDEST: Duration = Duration::from_secs(24 * 3600);
+/// Age at which information counts as equally old.
+const MAX_AGE: Duration = Duration::from_secs(24 * 3600);
 
-/// When something was heard of, which may have been before this process began.
+/// When something was learned, which may have been before this process started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LearnedAt(Moment);
 
 impl LearnedAt {
-    /// Makes the moment that is some time ago.
+    /// The moment that is `age` before `now`.
     pub fn ago(age: Duration, now: Moment) -> Self {
-        LearnedAt((now + OLDEST).saturating_sub(age))
+        LearnedAt((now + MAX_AGE).saturating_sub(age))
     }
 
-    /// Gets how long ago it was.
+    /// Time since then.
     pub fn age(self, now: Moment) -> Duration {
-        (now + OLDEST).saturating_sub(self.0)
+        (now + MAX_AGE).saturating_sub(self.0)
     }
 }
 
-/// What an answer says of its target's limit.
+/// Limit that an answer announces for its target.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum AnnouncedLimit {
-    /// Nothing, so there is none.
+    /// No header, so the target has no limit.
     Absent,
-    /// The requests a second that the target takes.
+    /// Requests per second that the target accepts.
     PerS(RatePerS),
-    /// Something that is no limit; it changes nothing.
+    /// A value that is not a valid limit; it is ignored.
     Unreadable,
 }
 
-/// Reads what an answer says of its target's limit from the values of its header; the lowest of them holds.
+/// Parses the values of an answer's limit header; the lowest valid one applies.
 pub fn announced_limit<'a>(values: impl Iterator<Item = &'a [u8]>) -> AnnouncedLimit {
-    let read = values.map(parse_limit);
+    let parsed = values.map(parse_limit);
 
-    read.fold(AnnouncedLimit::Absent, |named, value| match (named, value) {
+    parsed.fold(AnnouncedLimit::Absent, |announced, value| match (announced, value) {
         (AnnouncedLimit::PerS(before), Some(per_s)) => AnnouncedLimit::PerS(before.min(per_s)),
         (AnnouncedLimit::PerS(before), None) => AnnouncedLimit::PerS(before),
         (_, Some(per_s)) => AnnouncedLimit::PerS(per_s),
@@ -75,60 +79,60 @@
 
 fn parse_limit(value: &[u8]) -> Option<RatePerS> {
     let per_s: RatePerS = std::str::from_utf8(value).ok()?.trim().parse().ok()?;
-    let is_limit = per_s > 0.0 && per_s <= MAX_LIMIT_PER_S;
+    let is_valid = per_s > 0.0 && per_s <= MAX_LIMIT_PER_S;
 
-    is_limit.then(|| per_s.max(MIN_LIMIT_PER_S))
+    is_valid.then(|| per_s.max(MIN_LIMIT_PER_S))
 }
 
-/// What an answer changed.
+/// Effect of an answer on a target's limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum LimitChange {
-    /// Nothing.
+    /// No change.
     None,
-    /// The target has a limit, or another one than before.
+    /// The target has a new or a different limit.
     Set(RatePerS),
-    /// The target has no limit any more.
+    /// The target's limit has ended.
     Ended,
-    /// The target names what is no limit; reported once for each start.
+    /// The target announces an invalid limit; reported once per start.
     Unreadable,
 }
 
-/// A target's limit, as this gateway knows it.
+/// A gateway's state of one start of a target.
 #[derive(Clone, Debug, Default)]
-struct Known {
+struct LimitState {
     birth: Birth,
     per_s: Option<RatePerS>,
-    /// When the limit, or its end, was heard of last.
+    /// When the limit or its end was last learned of.
     learned_at: Option<LearnedAt>,
-    /// Since when there is a limit.
+    /// When the limit began.
     since: Moment,
     /// Requests sent since then.
     sent: u64,
-    /// Permits, by when they lapse.
+    /// Expiry times of the unused permits, in order.
     permits: VecDeque<Moment>,
-    /// Requests a second that the coordinator gives, once it was asked.
+    /// Requests per second granted by the coordinator; `None` before its first response.
     rate: Option<RatePerS>,
     is_unreadable: bool,
-    /// Until when the coordinator is told of the last change.
+    /// Until when the last change is sent to the coordinator.
     publish_until: Moment,
 }
 
-impl Known {
+impl LimitState {
     fn has_permit(&self, now: Moment) -> bool {
-        self.permits.back().is_some_and(|lapses_at| now < *lapses_at)
+        self.permits.back().is_some_and(|expires_at| now < *expires_at)
     }
 
     fn release_permits(&mut self, now: Moment) -> u32 {
         let permits = std::mem::take(&mut self.permits);
 
-        permits.iter().filter(|lapses_at| now < **lapses_at).count() as u32
+        permits.iter().filter(|expires_at| now < **expires_at).count() as u32
     }
 
     fn pop_permit(&mut self, now: Moment) -> Option<Moment> {
-        // The one that lapses first is used first.
-        while let Some(lapses_at) = self.permits.pop_front() {
-            if now < lapses_at {
-                return Some(lapses_at);
+        // The permit that expires first is used first.
+        while let Some(expires_at) = self.permits.pop_front() {
+            if now < expires_at {
+                return Some(expires_at);
             }
         }
 
@@ -136,46 +140,48 @@
     }
 }
 
-/// Leave to send a request.
+/// Permission to send a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Permit {
-    /// The target had no limit.
+    /// The target had no limit when the permit was acquired.
     NotNeeded,
-    /// The target has a limit; good until this moment.
+    /// The target has a limit; the permit expires at this moment.
     Until(Moment),
 }
 
-/// A target's limit, for a dump.
+/// A target's limit, for a diagnostic dump.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LimitView {
-    /// The limit.
+    /// The limit in requests per second.
     pub per_s: RatePerS,
-    /// Since when there is one.
+    /// When it began.
     pub since: Moment,
     /// Requests that this gateway has sent since then.
     pub sent: u64,
-    /// Requests a second that this gateway may send, once the coordinator has said so.
+    /// Requests per second that this gateway may send; `None` before the coordinator's first
+    /// response.
     pub rate: Option<RatePerS>,
 }
 
-/// Limits of targets.
+/// Limits of targets, with the permits that this gateway holds for them.
 #[derive(Clone, Debug, Default)]
 pub struct Limits {
-    targets: BTreeMap<TargetId, Known>,
+    targets: BTreeMap<TargetId, LimitState>,
 }
 
 impl Limits {
-    /// Takes in what an answer to a request sent at `sent_at` says; `is_good` tells an answer that the target made as usual,
-    /// as only those are sure to name a limit that holds.
+    /// Records the limit that an answer announces. The request was sent at `sent_at`. Only an
+    /// answer that the target itself made as a success (`is_good`) is sure to name a limit that
+    /// applies, so only such an answer can end one.
     pub fn observe(
         &mut self,
         target: &TargetEntry,
-        named: AnnouncedLimit,
+        announced: AnnouncedLimit,
         is_good: bool,
         sent_at: Moment,
         now: Moment,
     ) -> LimitChange {
-        match named {
+        match announced {
             AnnouncedLimit::Absent if !is_good => LimitChange::None,
             AnnouncedLimit::Absent => self.observe_absent(target, sent_at, now),
             AnnouncedLimit::PerS(per_s) => {
@@ -190,22 +196,22 @@
         }
     }
 
-    /// Tells whether no limit is known.
+    /// Whether no target's limit is tracked.
     pub fn is_empty(&self) -> bool {
         self.targets.is_empty()
     }
 
-    /// Tells whether a target has a limit.
+    /// Whether a target has a limit.
     pub fn is_limited(&self, target: &TargetEntry) -> bool {
         self.limited(target).is_some()
     }
 
-    /// Tells whether a request may be sent to a target now.
+    /// Whether a request may be sent to a target now.
     pub fn may_send(&self, target: &TargetEntry, now: Moment) -> bool {
         self.limited(target).is_none_or(|known| known.has_permit(now))
     }
 
-    /// Takes the permit for a request to a target; none where there is no permit left.
+    /// Takes a permit for a request to a target; `None` where no permit is left.
     pub fn acquire(&mut self, target: &TargetEntry, now: Moment) -> Option<Permit> {
         match self.limited_mut(target) {
             Some(known) => known.pop_permit(now).map(Permit::Until),
@@ -213,21 +219,23 @@
         }
     }
 
-    /// Tells whether a request with a permit may still be sent, and counts it. The limit may have been heard of since the
-    /// permit was taken, or the permit has lapsed; then another one is taken.
+    /// Checks that a request with a permit may still be sent, and counts it. If the limit began
+    /// after the permit was acquired, or the permit has expired, another one is taken. Returns
+    /// `false` where none is left.
     pub fn confirm_send(&mut self, target: &TargetEntry, permit: Permit, now: Moment) -> bool {
         let Some(known) = self.limited_mut(target) else {
             return true;
         };
-        let is_good = matches!(permit, Permit::Until(lapses_at) if now < lapses_at);
+        let is_good = matches!(permit, Permit::Until(expires_at) if now < expires_at);
         let is_sent = is_good || known.pop_permit(now).is_some();
         known.sent += u64::from(is_sent);
 
         is_sent
     }
 
-    /// Gets the requests a second that may be sent to some targets, all of which have a limit; none where one has no limit.
-    /// `gateways` is how many there are, for the part of a coordinator that was not asked yet.
+    /// Requests per second that may be sent to some targets together; `None` if any of them has no
+    /// limit. Before the coordinator's first response, a target counts with its limit divided by
+    /// the number of `gateways`.
     pub fn rate<'a>(
         &self,
         targets: impl IntoIterator<Item = &'a TargetEntry>,
@@ -242,19 +250,20 @@
         targets.into_iter().map(rate).sum()
     }
 
-    /// Gets what is to be asked of coordinators: permits for targets whose services have requests, and what has changed.
-    /// `wanted` gives the requests of the last second that might go to a target, by its id. Unused permits are given back.
+    /// Collects the demands to send to coordinators: permits for targets whose services have
+    /// requests, and changes of limits. `wanted` returns the requests of the last second that might
+    /// go to a target, by its id. Unused permits are returned to the coordinator.
     pub fn demands(&mut self, wanted: impl Fn(&str) -> u32, now: Moment) -> Vec<QuotaDemand> {
-        let demand = |(id, known): (&TargetId, &mut Known)| {
+        let demand = |(id, known): (&TargetId, &mut LimitState)| {
             let wanted = if known.per_s.is_some() { wanted(id) } else { 0 };
 
-            let is_told = wanted > 0 || now < known.publish_until || known.has_permit(now);
+            let is_sent = wanted > 0 || now < known.publish_until || known.has_permit(now);
 
-            is_told.then(|| QuotaDemand {
+            is_sent.then(|| QuotaDemand {
                 target: id.clone(),
                 birth: known.birth,
                 limit: known.per_s,
-                limit_age: known.learned_at.map_or(OLDEST, |at| at.age(now)),
+                limit_age: known.learned_at.map_or(MAX_AGE, |at| at.age(now)),
                 wanted,
                 unused: known.release_permits(now),
             })
@@ -263,7 +272,7 @@
         self.targets.iter_mut().filter_map(demand).collect()
     }
 
-    /// Takes in what a coordinator gives for a target, asked at `asked_at`.
+    /// Applies a coordinator's grant for a target, requested at `asked_at`.
     pub fn apply(
         &mut self,
         target: &TargetEntry,
@@ -272,7 +281,7 @@
         asked_at: Moment,
         now: Moment,
     ) -> LimitChange {
-        // Counted from the ask, which errs towards older news.
+        // Counted from the request, so the information may seem older than it is, but never newer.
         let learned_at = LearnedAt::ago(grant.limit_age, asked_at);
         let known = self.known(target);
         let is_newer = Some(learned_at) > known.learned_at;
@@ -283,9 +292,9 @@
         };
 
         if let Some(known) = self.limited_mut(target) {
-            let lapses_at = asked_at + lifetime;
-            known.permits.retain(|lapses_at| now < *lapses_at);
-            known.permits.extend((0..grant.permits).map(|_| lapses_at));
+            let expires_at = asked_at + lifetime;
+            known.permits.retain(|expires_at| now < *expires_at);
+            known.permits.extend((0..grant.permits).map(|_| expires_at));
 
             if grant.rate > 0.0 {
                 known.rate = Some(grant.rate);
@@ -295,7 +304,7 @@
         change
     }
 
-    /// Gets a target's limit, where it has one.
+    /// A target's limit; `None` where it has none.
     pub fn view(&self, target: &TargetEntry) -> Option<LimitView> {
         let known = self.limited(target)?;
 
@@ -307,25 +316,25 @@
         })
     }
 
-    /// Forgets targets that are gone.
+    /// Removes targets that are no longer listed.
     pub fn retain(&mut self, is_there: impl Fn(&str) -> bool) {
         self.targets.retain(|id, _| is_there(id));
     }
 
-    /// Forgets targets whose limits ended long ago.
+    /// Removes targets whose limits ended long ago.
     pub fn forget_ended(&mut self, now: Moment) {
         self.targets.retain(|_, known| {
-            let is_recent = known.learned_at.is_some_and(|at| at.age(now) < END_MEMORY);
+            let is_recent = known.learned_at.is_some_and(|at| at.age(now) < END_RETENTION);
 
             known.per_s.is_some() || known.is_unreadable || is_recent
         });
     }
 
-    fn limited(&self, target: &TargetEntry) -> Option<&Known> {
+    fn limited(&self, target: &TargetEntry) -> Option<&LimitState> {
         self.targets.get(&target.id).filter(|k| k.birth == target.born_ms && k.per_s.is_some())
     }
 
-    fn limited_mut(&mut self, target: &TargetEntry) -> Option<&mut Known> {
+    fn limited_mut(&mut self, target: &TargetEntry) -> Option<&mut LimitState> {
         self.targets.get_mut(&target.id).filter(|k| k.birth == target.born_ms && k.per_s.is_some())
     }
 
@@ -336,7 +345,7 @@
         now: Moment,
     ) -> LimitChange {
         let sent_at = LearnedAt::ago(Duration::ZERO, sent_at);
-        let was_sent_since = |known: &Known| Some(sent_at) >= known.learned_at;
+        let was_sent_since = |known: &LimitState| Some(sent_at) >= known.learned_at;
 
         if self.limited(target).is_some_and(was_sent_since) {
             self.end(target, LearnedAt::ago(Duration::ZERO, now), now)
@@ -351,7 +360,7 @@
         known.learned_at = Some(learned_at);
         known.permits.clear();
         known.rate = None;
-        known.publish_until = now + PUBLISH_FOR;
+        known.publish_until = now + PUBLISH_DURATION;
 
         LimitChange::Ended
     }
@@ -376,16 +385,16 @@
             known.sent = 0;
         }
 
-        known.publish_until = now + PUBLISH_FOR;
+        known.publish_until = now + PUBLISH_DURATION;
         LimitChange::Set(per_s)
     }
 
-    /// Gets what is known of a start of a target; another start has none of the limit of the one before.
-    fn known(&mut self, target: &TargetEntry) -> &mut Known {
+    /// State of a target's start; a new start does not inherit the limit of the one before.
+    fn known(&mut self, target: &TargetEntry) -> &mut LimitState {
         let known = self.targets.entry(target.id.clone()).or_default();
 
         if known.birth != target.born_ms {
-            *known = Known { birth: target.born_ms, ..Known::default() };
+            *known = LimitState { birth: target.born_ms, ..LimitState::default() };
         }
 
         known
--- a/grebedeck-gateway/src/quota.rs
+++ b/grebedeck-gateway/src/quota.rs
@@ -1,16 +1,20 @@
-//! How a target's limit is divided among the gateways.
+//! Division of a target's rate limit among the gateways.
 //!
-//! The load that this answers: some targets, or all of a service, take fewer requests a second than callers send, and callers
-//! come to some gateways more than to others. Each gateway asks the target's [coordinator](crate::coordinator) for permits,
-//! each for one request within a short time, and says how many requests it has. The coordinator gives them out of a token bucket
-//! that fills at the limit, in proportion to what each asked for lately. So the sum is kept to wherever the requests come in.
-//! With each ask a gateway gives back what it has not used, so that permits do not lapse where requests are rare.
+//! The load that this handles: some targets, or all of a service, accept fewer requests per second
+//! than callers send, and some gateways get more of the callers' requests than others. Each gateway
+//! requests permits from the target's [coordinator](crate::coordinator), each good for one request
+//! within a short time, and reports how many requests it has. The coordinator issues them from a
+//! token bucket that fills at the limit, in proportion to each gateway's recent demand. So the
+//! total stays within the limit wherever the requests come in. With each request for permits a
+//! gateway returns those that it has not used, so that permits do not expire unused where requests
+//! are rare.
 //!
-//! That a target has a limit, or none any more, is told to all gateways at once: each of them would send it a request to
-//! find that out, and a target in need would get one from each.
+//! When a limit begins or ends, all gateways are notified at once. Otherwise each of them would
+//! find out by sending the target a request, and an overloaded target would get one from every
+//! gateway.
 //!
-//! In any time `t` a target gets no more than the bucket holds, and the limit times `t` with the lifetime of a permit on top.
-//! A coordinator that is new begins with one permit.
+//! In any period `t` a target gets at most what the bucket holds, plus the limit times (`t` + the
+//! lifetime of a permit). A new coordinator starts with one permit.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -23,139 +27,142 @@
 use crate::limit::{LearnedAt, MAX_LIMIT_PER_S, MIN_LIMIT_PER_S, RatePerS};
 use crate::targets::TargetId;
 
-/// How long a permit is good for, from when it was asked for: longer than the time between two asks.
+/// Lifetime of a permit from when it was requested: longer than the period of a gateway's requests.
 pub const PERMIT_LIFETIME: Duration = Duration::from_millis(600);
-/// Time in which an empty bucket fills, where that is more than one permit: longer than the time between two asks, so that
-/// one gateway that asks alone gets all.
+/// Time in which an empty bucket fills, where that exceeds its least capacity: longer than the
+/// period of a gateway's requests, so that a gateway that is the only one to request permits gets
+/// the whole limit.
 const FILL_TIME: Duration = Duration::from_millis(600);
-/// Permits that a bucket holds at least: as many as may be saved until the gateways that want them have asked.
-const MIN_SAVED: f64 = 3.0;
-/// The same of a coordinator that may not be the only one.
-const MIN_SAVED_UNSETTLED: f64 = 1.0;
-/// Least of a limit that is given out in whichever part, so that its end is heard of: one request in five seconds.
-const LEAST_PER_S: RatePerS = 0.2;
-/// Time in which requests are counted as what is wanted.
+/// Least capacity of a bucket, in permits: enough to accumulate until the gateways that need them
+/// have requested some.
+const MIN_CAPACITY: f64 = 3.0;
+/// Least capacity while another gateway may also be coordinator.
+const MIN_CAPACITY_UNSETTLED: f64 = 1.0;
+/// Least rate that a coordinator issues of a limit, whatever its fraction, so that gateways learn
+/// of the end of the limit: one request in 5 s.
+const MIN_ISSUED_PER_S: RatePerS = 0.2;
+/// Window in which a service's requests are counted.
 const DEMAND_WINDOW: Duration = Duration::from_secs(1);
-/// How long what a gateway asked for counts against the others.
+/// How long a gateway's demand counts in the division.
 const DEMAND_LIFETIME: Duration = Duration::from_secs(2);
-/// How long a target is remembered that nobody asks about.
-const MEMORY: Duration = Duration::from_secs(60);
-/// Most requests that one gateway may want: more than it serves in a second.
+/// How long a target's account is kept without requests.
+const IDLE_RETENTION: Duration = Duration::from_secs(60);
+/// Most requests that one gateway may demand: more than it serves in a second.
 const MAX_WANTED: u32 = 100_000;
-/// Most targets that are kept, in some megabytes; whoever asks for more gets nothing for them.
+/// Most accounts of targets, which take some megabytes; demands for further targets get no grant.
 const MAX_TARGETS: usize = 4096;
-/// Most changes that all are told of at once; the others follow.
+/// Most changes in one notification; the rest follow in the next.
 const MAX_CHANGES: usize = 64;
 
-/// Requests of one gateway for a service, as it asks for permits.
+/// Count of one gateway's recent requests for a service: its demand for permits.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DemandCounter {
-    window_began: Moment,
-    now: u32,
-    before: u32,
+    window_started_at: Moment,
+    current: u32,
+    previous: u32,
 }
 
 impl DemandCounter {
-    /// Notes a request.
+    /// Counts a request.
     pub fn record(&mut self, now: Moment) {
-        self.pass(now);
-        self.now = self.now.saturating_add(1);
+        self.roll_window(now);
+        self.current = self.current.saturating_add(1);
     }
 
-    /// Gets the requests of the last second; some less or more, as they are counted in windows.
+    /// Approximate number of requests in the last second, as they are counted in windows.
     pub fn wanted(mut self, now: Moment) -> u32 {
-        self.pass(now);
-        self.now.max(self.before)
+        self.roll_window(now);
+        self.current.max(self.previous)
     }
 
-    fn pass(&mut self, now: Moment) {
-        let passed = now.saturating_sub(self.window_began);
+    fn roll_window(&mut self, now: Moment) {
+        let elapsed = now.saturating_sub(self.window_started_at);
 
-        if passed >= DEMAND_WINDOW {
-            self.before = if passed < DEMAND_WINDOW * 2 { self.now } else { 0 };
-            self.now = 0;
-            self.window_began = now;
+        if elapsed >= DEMAND_WINDOW {
+            self.previous = if elapsed < DEMAND_WINDOW * 2 { self.current } else { 0 };
+            self.current = 0;
+            self.window_started_at = now;
         }
     }
 }
 
-/// One target in a request.
+/// A gateway's demand for permits of one target.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct QuotaDemand {
     /// The target.
     pub target: TargetId,
-    /// Its start.
+    /// The start of the target that this is about.
     pub birth: Birth,
-    /// The limit that it named last; none if it named none.
+    /// The limit that it announced last to this gateway; `None` if it has none.
     pub limit: Option<RatePerS>,
-    /// How long ago it was heard of.
+    /// Time since this gateway learned that.
     #[serde(rename = "heard_ago")]
     pub limit_age: Duration,
     /// Requests of the last second that might go there.
     pub wanted: u32,
-    /// Permits that are given back.
+    /// Unused permits that are returned.
     pub unused: u32,
 }
 
-/// One target in a response.
+/// A coordinator's grant for one target.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct QuotaGrant {
     /// The target.
     pub target: TargetId,
-    /// Its start.
+    /// The start of the target that this is about.
     pub birth: Birth,
-    /// The limit that it named last, to whichever gateway; none if it named none.
+    /// The limit that it announced last to any gateway; `None` if it has none.
     pub limit: Option<RatePerS>,
-    /// How long ago that gateway heard of it.
+    /// Time since that gateway learned it.
     #[serde(rename = "heard_ago")]
     pub limit_age: Duration,
-    /// Requests that may be sent.
+    /// Number of requests that may be sent.
     pub permits: u32,
-    /// Requests a second that the gateway may expect.
+    /// Requests per second that the gateway can expect to be granted.
     pub rate: RatePerS,
 }
 
-/// Between gateways.
+/// Message between gateways.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum QuotaMessage {
-    /// To a coordinator.
+    /// Request to a coordinator.
     Request {
-        /// Number of the request, which its response repeats.
+        /// Sequence number, which the response repeats.
         sequence: u64,
-        /// What is asked for.
+        /// Demands, one per target.
         demands: Vec<QuotaDemand>,
     },
     /// A coordinator's response.
     Response {
-        /// Number of the request.
+        /// Sequence number of the request.
         sequence: u64,
-        /// What is given.
+        /// Grants, one per target.
         grants: Vec<QuotaGrant>,
     },
-    /// From a coordinator to all: targets that have a limit, or none any more.
+    /// Notification from a coordinator to all gateways of limits that have begun or ended.
     Notify {
-        /// The targets, without permits.
+        /// The targets, with no permits granted.
         changes: Vec<QuotaGrant>,
     },
 }
 
-/// What one gateway wants of a target.
+/// One gateway's claim on the permits of a target.
 #[derive(Clone, Copy, Debug)]
 struct Claim {
     wanted: u32,
-    /// Permits that it gets with its next ask.
+    /// Permits that it gets with its next request.
     reserved: u32,
     asked_at: Moment,
 }
 
-/// What a coordinator knows of a target.
+/// A coordinator's token bucket for one start of a target.
 #[derive(Clone, Debug)]
 struct Account {
     limit: Option<RatePerS>,
     learned_at: Option<LearnedAt>,
-    /// Permits that nobody has got yet.
-    saved: f64,
-    saved_at: Moment,
+    /// Permits in the bucket that are neither issued nor reserved.
+    tokens: f64,
+    filled_at: Moment,
     asked_at: Moment,
     claims: BTreeMap<GatewayAddress, Claim>,
 }
@@ -165,14 +172,14 @@
         Account {
             limit: None,
             learned_at: None,
-            saved: 1.0,
-            saved_at: now,
+            tokens: 1.0,
+            filled_at: now,
             asked_at: now,
             claims: BTreeMap::new(),
         }
     }
 
-    /// Records a request; tells whether the target has a limit since then, or none any more.
+    /// Records a gateway's demand. Returns whether the target's limit began or ended with it.
     fn record(&mut self, from: GatewayAddress, demand: &QuotaDemand, now: Moment) -> bool {
         let was_limited = self.limit.is_some();
         let learned_at = Some(LearnedAt::ago(demand.limit_age, now));
@@ -195,50 +202,51 @@
         self.learned_at.map_or(Duration::ZERO, |at| at.age(now))
     }
 
-    /// Gets the part of all that is wanted that one gateway wants.
-    fn share(&self, from: GatewayAddress) -> f64 {
+    /// One gateway's share of the total demand.
+    fn demand_share(&self, from: GatewayAddress) -> f64 {
         let total: f64 = self.claims.values().map(|claim| f64::from(claim.wanted)).sum();
         let own = self.claims.get(&from).map_or(0.0, |claim| f64::from(claim.wanted));
 
         if own > 0.0 { own / total } else { 0.0 }
     }
 
-    /// Adds what has become free since the last ask, and what comes back.
-    fn fill(&mut self, per_s: RatePerS, part: f64, given_back: u32, now: Moment) {
-        let is_over = |claim: &Claim| now >= claim.asked_at + DEMAND_LIFETIME;
-        let forgotten = self.claims.values().filter(|claim| is_over(claim));
-        let back = given_back + forgotten.map(|claim| claim.reserved).sum::<u32>();
-        self.claims.retain(|_, claim| !is_over(claim));
-
-        let passed = now.saturating_sub(self.saved_at).as_secs_f64();
-        let own_per_s = given_out(per_s, part);
-        let least = if part < 1.0 { MIN_SAVED_UNSETTLED } else { MIN_SAVED };
-        let most = (own_per_s * FILL_TIME.as_secs_f64()).max(least);
+    /// Refills the bucket, with the permits that came back and those reserved by expired claims.
+    fn fill(&mut self, per_s: RatePerS, fraction: f64, returned: u32, now: Moment) {
+        let is_expired = |claim: &Claim| now >= claim.asked_at + DEMAND_LIFETIME;
+        let expired = self.claims.values().filter(|claim| is_expired(claim));
+        let freed = returned + expired.map(|claim| claim.reserved).sum::<u32>();
+        self.claims.retain(|_, claim| !is_expired(claim));
+
+        let elapsed = now.saturating_sub(self.filled_at).as_secs_f64();
+        let issued_per_s = issued_rate(per_s, fraction);
+        let min_capacity = if fraction < 1.0 { MIN_CAPACITY_UNSETTLED } else { MIN_CAPACITY };
+        let capacity = (issued_per_s * FILL_TIME.as_secs_f64()).max(min_capacity);
         let reserved: u32 = self.claims.values().map(|claim| claim.reserved).sum();
-        let room = (most - f64::from(reserved)).max(0.0);
-        self.saved_at = now;
-        self.saved = (self.saved + passed * own_per_s + f64::from(back)).min(room);
+        let room = (capacity - f64::from(reserved)).max(0.0);
+        self.filled_at = now;
+        self.tokens = (self.tokens + elapsed * issued_per_s + f64::from(freed)).min(room);
     }
 
-    /// Reserves whole permits for those who want them, in proportion to how many each wants. What is left of that is
-    /// drawn for, so that each gets its part however small it is, and whenever it asks.
+    /// Reserves whole permits for the gateways in proportion to their demand. The remainder is
+    /// drawn at random with the same weights, so that each gateway gets its share however small it
+    /// is, and whenever it makes its requests.
     fn reserve(&mut self, random: &mut impl RandomSource) {
-        let whole = self.saved.floor();
+        let whole = self.tokens.floor();
         let total: f64 = self.claims.values().map(|claim| f64::from(claim.wanted)).sum();
 
         for claim in self.claims.values_mut() {
             let due = (whole * f64::from(claim.wanted) / total.max(1.0)).floor() as u32;
             let given = due.min(claim.wanted.saturating_sub(claim.reserved));
             claim.reserved += given;
-            self.saved -= f64::from(given);
+            self.tokens -= f64::from(given);
         }
 
-        while self.saved >= 1.0 && self.reserve_one(random) {
-            self.saved -= 1.0;
+        while self.tokens >= 1.0 && self.reserve_one(random) {
+            self.tokens -= 1.0;
         }
     }
 
-    /// Reserves a permit for one that is drawn; tells whether somebody wants one.
+    /// Reserves one permit for a gateway drawn by demand. Returns whether any gateway needs one.
     fn reserve_one(&mut self, random: &mut impl RandomSource) -> bool {
         let wants_more = |claim: &&mut Claim| claim.reserved < claim.wanted;
         let total: u32 =
@@ -257,32 +265,33 @@
         false
     }
 
-    /// Takes what is reserved for a gateway.
+    /// Takes the permits that are reserved for a gateway.
     fn take(&mut self, from: GatewayAddress) -> u32 {
         self.claims.get_mut(&from).map_or(0, |claim| std::mem::take(&mut claim.reserved))
     }
 }
 
-/// Gets the requests a second that are given out of a limit.
-fn given_out(per_s: RatePerS, part: f64) -> RatePerS {
-    (per_s * part).max(per_s.min(LEAST_PER_S))
+/// Rate at which a coordinator issues permits when it may issue `fraction` of a limit.
+fn issued_rate(per_s: RatePerS, fraction: f64) -> RatePerS {
+    (per_s * fraction).max(per_s.min(MIN_ISSUED_PER_S))
 }
 
-/// What a coordinator gives out.
+/// A coordinator's accounts of all targets that gateways request permits for.
 #[derive(Clone, Debug, Default)]
 pub struct QuotaLedger {
     accounts: BTreeMap<(TargetId, Birth), Account>,
-    /// Targets that have a limit since then, or none any more, until all are told.
+    /// Targets whose limit began or ended, until the notification is sent.
     changed: BTreeSet<(TargetId, Birth)>,
 }
 
 impl QuotaLedger {
-    /// Answers a request. `part` is the part of each limit that this coordinator may give out of a target.
+    /// Answers a gateway's demands. `fraction` returns the fraction of a target's limit that this
+    /// coordinator may issue.
     pub fn grant(
         &mut self,
         from: GatewayAddress,
         demands: &[QuotaDemand],
-        part: impl Fn(&str) -> f64,
+        fraction: impl Fn(&str) -> f64,
         now: Moment,
         random: &mut impl RandomSource,
     ) -> Vec<QuotaGrant> {
@@ -301,13 +310,13 @@
                 self.changed.insert(key);
             }
 
-            let part = part(&demand.target);
+            let fraction = fraction(&demand.target);
             let (permits, rate) = match account.limit {
                 Some(per_s) => {
-                    account.fill(per_s, part, demand.unused.min(MAX_WANTED), now);
+                    account.fill(per_s, fraction, demand.unused.min(MAX_WANTED), now);
                     account.reserve(random);
 
-                    (account.take(from), given_out(per_s, part) * account.share(from))
+                    (account.take(from), issued_rate(per_s, fraction) * account.demand_share(from))
                 }
                 None => (0, 0.0),
             };
@@ -325,27 +334,27 @@
         grants
     }
 
-    /// Gets the number of targets that are kept.
+    /// Number of accounts.
     pub fn len(&self) -> usize {
         self.accounts.len()
     }
 
-    /// Tells whether no target is kept.
+    /// Whether there are no accounts.
     pub fn is_empty(&self) -> bool {
         self.accounts.is_empty()
     }
 
-    /// Forgets targets that nobody has asked about for long.
+    /// Removes accounts that no gateway has used for a long time.
     pub fn forget_idle(&mut self, now: Moment) {
-        self.accounts.retain(|_, account| now < account.asked_at + MEMORY);
+        self.accounts.retain(|_, account| now < account.asked_at + IDLE_RETENTION);
     }
 
-    /// Tells whether there are changes that all gateways are to be told of.
+    /// Whether there are changes to notify all gateways of.
     pub fn has_changes(&self) -> bool {
         !self.changed.is_empty()
     }
 
-    /// Takes changes that all gateways are to be told of.
+    /// Takes the changes for the next notification.
     pub fn drain_changes(&mut self, now: Moment) -> Vec<QuotaGrant> {
         let mut changes = Vec::new();
 
