--- a/grebedeck-gateway/src/lib.rs
+++ b/grebedeck-gateway/src/lib.rs
@@ -1,9 +1,9 @@
-//! Decisions on requests that go from a gateway straight to their targets.
+//! Decision logic of a gateway, which sends requests directly to their targets.
 //!
-//! A gateway is an entry on a platform whose targets name themselves: each request carries the id of
-//! the target that it is meant for, and another target refuses it. So no agent has to stand between
-//! them. All of this crate is pure; the shells are in the `grebedeck` crate, and [`source`] names what
-//! they need of a platform.
+//! A gateway serves a platform whose targets identify themselves: each request carries the id of
+//! the target that it is meant for, and any other target refuses it. So no agent is needed between
+//! a gateway and its targets. This crate does no I/O. The tasks that do are in the `grebedeck`
+//! crate, and [`source`] defines the interface to a platform's store.
 
 #![forbid(unsafe_code)]
 
--- a/grebedeck-gateway/src/reader.rs
+++ b/grebedeck-gateway/src/reader.rs
@@ -1,48 +1,48 @@
-//! A peer that is written to, and whether it still takes something.
+//! Time limits on writing to a peer that may read slowly or not at all.
 
 use std::time::Duration;
 
 use grebedeck_core::Moment;
 
-/// What became of the last write.
+/// Whether a write may go on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteWait {
-    /// It may be waited for this long.
+    /// The write may block for this long.
     For(Duration),
-    /// The peer has taken nothing for too long.
+    /// The peer has accepted no bytes for the stall limit.
     Stalled,
-    /// The time of the whole is over.
+    /// The overall deadline has passed.
     TimedOut,
 }
 
-/// A peer that reads.
+/// Stall limit and overall deadline of the writes to one peer.
 #[derive(Clone, Debug)]
 pub struct WriteTimeouts {
-    limit: Duration,
-    until: Moment,
-    took_at: Moment,
+    stall_limit: Duration,
+    deadline: Moment,
+    progress_at: Moment,
 }
 
 impl WriteTimeouts {
-    /// Makes a peer that is given up when it takes nothing for `limit`, and at `until` in any case.
-    pub fn new(limit: Duration, until: Moment, now: Moment) -> Self {
-        WriteTimeouts { limit, until, took_at: now }
+    /// Sets a limit on the time without progress, and a deadline for the whole.
+    pub fn new(stall_limit: Duration, deadline: Moment, now: Moment) -> Self {
+        WriteTimeouts { stall_limit, deadline, progress_at: now }
     }
 
-    /// Notes that the peer has taken some bytes.
+    /// Records that the peer accepted some bytes.
     pub fn record_progress(&mut self, now: Moment) {
-        self.took_at = now;
+        self.progress_at = now;
     }
 
-    /// Tells how long it may be waited for.
+    /// Time that the next write may block.
     pub fn remaining(&self, now: Moment) -> WriteWait {
-        if now >= self.until {
+        if now >= self.deadline {
             return WriteWait::TimedOut;
         }
 
-        match self.limit.saturating_sub(now - self.took_at) {
+        match self.stall_limit.saturating_sub(now - self.progress_at) {
             Duration::ZERO => WriteWait::Stalled,
-            left => WriteWait::For(left.min(self.until - now)),
+            left => WriteWait::For(left.min(self.deadline - now)),
         }
     }
 }
--- a/grebedeck-gateway/src/relay.rs
+++ b/grebedeck-gateway/src/relay.rs
@@ -1,16 +1,20 @@
-//! Whom a gateway follows for what the store holds: the store itself, or another gateway that reads it.
+//! Choice of what a gateway reads the store's contents from: the store itself, or a gateway that
+//! relays it.
 //!
-//! The load that this answers: hundreds of gateways that each watch one store by themselves. Its calls and bytes then
-//! grow with the gateways, and so does what its return after an outage costs.
+//! The load that this handles: hundreds of gateways that each watch one store. The store's calls
+//! and bytes would grow with the number of gateways, and so would the load when it returns after an
+//! outage.
 //!
-//! In each hall one gateway, the relay, reads the store, and the others follow it. All derive the relay alike, from the
-//! list of gateways, so nothing has to be agreed: it is the first of the hall, by its link and then by a hash. A new
-//! configuration goes to all followers at once, which a small link bears at the cost of callers' streams.
-//! A relay that fails its followers is passed over for a while, and the next in the order takes its place. Where lists
-//! or experiences differ, a gateway may be asked that takes itself for no relay; it becomes one for as long as it is
-//! asked. A gateway that comes to itself in the order reads the store, so nobody waits for somebody who waits for it.
+//! In each hall one gateway, the relay, reads the store, and the others follow it. Every gateway
+//! derives the relay from the list of gateways, so no agreement is needed: it is the hall's first
+//! by link rate and then by a hash. The largest link comes first because a new configuration goes
+//! to all followers at once; on a small link that would delay callers' streams. A relay that fails
+//! a follower is skipped for a while, and the next in the order takes its place. Where lists or
+//! failures differ, a gateway that does not consider itself a relay may be asked; it acts as one
+//! for as long as requests come. A gateway that finds itself first in the order reads the store, so
+//! gateways never wait for each other in a cycle.
 //!
-//! Whoever does not get through to the store itself follows others, wherever it stands in the order.
+//! A gateway that cannot reach the store follows others, whatever its place in the order.
 
 use std::cmp::Reverse;
 use std::collections::HashMap;
@@ -19,16 +23,18 @@
 use grebedeck_core::Moment;
 use grebedeck_core::digest::{digest, rendezvous};
 
-/// Settings of the choice.
+/// Options of [`RelaySelector`].
 #[derive(Clone, Copy, Debug)]
 pub struct RelayOptions {
-    /// Gateways of a hall up to which each reads the store: a relay would save next to nothing.
+    /// Size of a hall, in gateways, up to which each reads the store: a relay would save next to
+    /// nothing.
     pub max_direct_gateways: usize,
-    /// How long a relay that failed is passed over.
+    /// How long a relay is skipped after a failure.
     pub failure_backoff: Duration,
-    /// How long a gateway that was asked goes on as a relay: followers ask again within half of that.
+    /// How long a gateway stays a relay after a follower's request; followers ask again within half
+    /// of that.
     pub follower_lease: Duration,
-    /// How long others are followed after the store has failed this gateway.
+    /// How long this gateway follows others after a failed call to the store.
     pub store_backoff: Duration,
 }
 
@@ -43,74 +49,74 @@
     }
 }
 
-/// What a gateway follows.
+/// What a gateway reads from.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Source<A> {
     /// The store itself.
     Store,
-    /// A gateway that reads it.
+    /// A gateway that reads the store.
     Relay(A),
 }
 
-/// The gateways of one hall, and which of them to follow.
+/// Selects what a gateway reads from, given the gateways of its hall and recent failures.
 #[derive(Clone, Debug)]
 pub struct RelaySelector<A> {
     options: RelayOptions,
     own: A,
-    /// The hall's gateways in the order in which they are taken as relays.
+    /// The hall's gateways, in order of preference as relays.
     order: Vec<A>,
-    passed_over: HashMap<A, Moment>,
-    asked_at: Option<Moment>,
+    skipped_until: HashMap<A, Moment>,
+    followed_at: Option<Moment>,
     store_failed_at: Option<Moment>,
 }
 
 impl<A: Clone + Eq + std::hash::Hash + ToString> RelaySelector<A> {
-    /// Makes the choice of a gateway that knows no other.
+    /// Starts with no known gateways, so that the store is read.
     pub fn new(own: A, options: RelayOptions) -> Self {
         RelaySelector {
             options,
             own,
             order: Vec::new(),
-            passed_over: HashMap::new(),
-            asked_at: None,
+            skipped_until: HashMap::new(),
+            followed_at: None,
             store_failed_at: None,
         }
     }
 
-    /// Sets the gateways of the own hall, with the rates of their links in megabits a second.
+    /// Sets the gateways of the own hall, with their link rates in Mbit/s.
     pub fn set_gateways(&mut self, hall: &str, gateways: impl IntoIterator<Item = (A, u32)>) {
         let key = digest(hall.as_bytes());
         let mut ranked: Vec<(A, u32)> = gateways.into_iter().collect();
-        // Equal weights are told apart by the names, the same way everywhere.
+        // Ties are broken by name, so that the order is the same at every gateway.
         ranked.sort_by_cached_key(|(gateway, link_mbps)| {
             let name = gateway.to_string();
             (Reverse(*link_mbps), Reverse(rendezvous(key, &name)), name)
         });
         self.order = ranked.into_iter().map(|(gateway, _)| gateway).collect();
         let order = &self.order;
-        self.passed_over.retain(|gateway, _| order.contains(gateway));
+        self.skipped_until.retain(|gateway, _| order.contains(gateway));
     }
 
-    /// Gets what to follow now.
+    /// Selects what to read from now.
     pub fn source(&self, now: Moment) -> Source<A> {
         if self.order.len() <= self.options.max_direct_gateways {
             return Source::Store;
         }
 
-        let is_cut_off = self.is_store_failing(now);
+        let is_store_failing = self.is_store_failing(now);
 
-        if !is_cut_off && self.is_recent(self.asked_at, self.options.follower_lease, now) {
+        if !is_store_failing && self.is_recent(self.followed_at, self.options.follower_lease, now) {
             return Source::Store;
         }
 
-        let is_passed_over =
-            |gateway: &&A| self.passed_over.get(gateway).is_some_and(|until| now < *until);
-        let mut relays = self.order.iter().filter(|gateway| !is_passed_over(gateway));
+        let is_skipped =
+            |gateway: &&A| self.skipped_until.get(gateway).is_some_and(|until| now < *until);
+        let mut relays = self.order.iter().filter(|gateway| !is_skipped(gateway));
         let is_own = |gateway: &&A| **gateway == self.own;
 
         match relays.next() {
             Some(relay) if !is_own(&relay) => Source::Relay(relay.clone()),
-            Some(_) if is_cut_off => relays
+            Some(_) if is_store_failing => relays
                 .find(|gateway| !is_own(gateway))
                 .cloned()
                 .map_or(Source::Store, Source::Relay),
@@ -118,27 +124,27 @@
         }
     }
 
-    /// Tells whether the store has failed this gateway lately.
+    /// Whether a call to the store failed within [`RelayOptions::store_backoff`].
     pub fn is_store_failing(&self, now: Moment) -> bool {
         self.is_recent(self.store_failed_at, self.options.store_backoff, now)
     }
 
-    /// Tells whether others may follow this gateway, as there are relays in its hall.
+    /// Whether the hall is large enough for relays, so that others may follow this gateway.
     pub fn uses_relays(&self) -> bool {
         self.order.len() > self.options.max_direct_gateways
     }
 
-    /// Notes that another gateway asked this one.
+    /// Records a request from a follower.
     pub fn record_follower(&mut self, now: Moment) {
-        self.asked_at = Some(now);
+        self.followed_at = Some(now);
     }
 
-    /// Notes that a relay did not answer, or is not fresh itself.
+    /// Records that a relay did not answer or that its data was stale.
     pub fn record_relay_failure(&mut self, relay: &A, now: Moment) {
-        self.passed_over.insert(relay.clone(), now + self.options.failure_backoff);
+        self.skipped_until.insert(relay.clone(), now + self.options.failure_backoff);
     }
 
-    /// Notes that the store did not answer this gateway as it should.
+    /// Records a failed call of this gateway to the store.
     pub fn record_store_failure(&mut self, now: Moment) {
         self.store_failed_at = Some(now);
     }
--- a/grebedeck-gateway/src/routes.rs
+++ b/grebedeck-gateway/src/routes.rs
@@ -1,4 +1,4 @@
-//! The compiled form of a site: the route and the organisation of a request.
+//! A site's configuration compiled for lookups: a request's route, organisation and urgency.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
@@ -14,14 +14,14 @@
 pub enum Denied {
     /// No configuration is known yet.
     NoConfiguration,
-    /// No route fits the host and path.
+    /// No route matches the host and path.
     NoRoute,
-    /// The route needs a key that the configuration holds.
+    /// The route needs a key, and the request has none that the configuration contains.
     UnknownKey,
 }
 
 impl Denied {
-    /// Gets the status that goes with the reason.
+    /// HTTP status of the answer.
     pub fn status(self) -> u16 {
         match self {
             Denied::NoConfiguration => 503,
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Gets a short word for logs and counters.
+    /// Label in logs and counters.
     pub fn label(self) -> &'static str {
         match self {
             Denied::NoConfiguration => "no_configuration",
@@ -40,21 +40,22 @@
     }
 }
 
-/// A request that the configuration allows.
+/// How the configuration classifies a request that it allows.
 #[derive(Clone, Debug)]
 pub struct Admitted {
-    /// Its route.
+    /// The route.
     pub rule: Arc<RouteRule>,
-    /// Its organisation, where the route needs a key.
+    /// The caller's organisation; `None` where the route needs no key.
     pub organisation: Option<OrganisationName>,
-    /// Its rank; 0 is the most urgent.
+    /// Priority; 0 is the most urgent. An organisation's own priority overrides that of the route.
     pub priority: u8,
-    /// The version that allowed it.
+    /// Version of the configuration.
     pub version: SiteVersion,
 }
 
 impl Admitted {
-    /// Gets its urgency: its rank, and within that its route's, as a key's rank often is the same for all routes.
+    /// Urgency: the priority, then the route's, as an organisation's priority is often the same on
+    /// all routes.
     pub fn urgency(&self) -> Urgency {
         (self.priority, self.rule.priority)
     }
@@ -68,7 +69,7 @@
 
 type RulesByPrefix = HashMap<String, Arc<RouteRule>>;
 
-/// All routes of one version.
+/// Lookup tables of one version of the configuration.
 #[derive(Clone, Debug, Default)]
 pub struct RouteTable {
     version: SiteVersion,
@@ -77,9 +78,9 @@
     services: HashMap<ServiceName, Arc<ServiceSpec>>,
     limits: CallerLimits,
     needs_keys: bool,
-    /// Urgencies of each service's requests, the most urgent first.
+    /// Urgency levels of each service's requests, the most urgent first.
     urgencies: HashMap<ServiceName, Vec<Urgency>>,
-    /// Objectives of each service's routes, by the routes' urgency.
+    /// Longest objective of each service's routes, by the routes' priority.
     objectives: HashMap<ServiceName, Vec<(u8, Duration)>>,
 }
 
@@ -115,56 +116,57 @@
         }
     }
 
-    /// Tells whether requests for a service differ in urgency.
+    /// Whether requests for a service differ in urgency.
     pub fn has_urgency_levels(&self, service: &str) -> bool {
         self.urgencies.get(service).is_some_and(|urgencies| urgencies.len() > 1)
     }
 
-    /// Gets the rank of an urgency among those of a service's requests; none where they do not differ.
+    /// Index of an urgency among a service's levels; `None` where its requests do not differ.
     pub fn rank(&self, service: &str, urgency: Urgency) -> Option<u8> {
         let urgencies = self.urgencies.get(service).filter(|urgencies| urgencies.len() > 1)?;
-        let before = urgencies.iter().filter(|other| **other < urgency).count();
+        let more_urgent = urgencies.iter().filter(|other| **other < urgency).count();
 
-        u8::try_from(before).ok()
+        u8::try_from(more_urgent).ok()
     }
 
-    /// Gets the version; 0 where there is no configuration yet.
+    /// Version of the configuration; 0 while none is known.
     pub fn version(&self) -> SiteVersion {
         self.version
     }
 
-    /// Gets the limits on callers.
+    /// Limits on callers' requests and connections.
     pub fn limits(&self) -> CallerLimits {
         self.limits
     }
 
-    /// Gets a service.
+    /// Specification of a service.
     pub fn service(&self, name: &str) -> Option<&Arc<ServiceSpec>> {
         self.services.get(name)
     }
 
-    /// Gets all services.
+    /// Specifications of all services.
     pub fn services(&self) -> impl Iterator<Item = &Arc<ServiceSpec>> {
         self.services.values()
     }
 
-    /// Tells whether some requests for a service are less urgent than that.
+    /// Whether some requests for a service are less urgent than `urgency`.
     pub fn has_less_urgent(&self, service: &str, urgency: Urgency) -> bool {
         let urgencies = self.urgencies.get(service);
 
         urgencies.and_then(|urgencies| urgencies.last()).is_some_and(|last| urgency < *last)
     }
 
-    /// Gets the longest objective among the routes to a service that are as urgent as that or less.
+    /// Longest objective among a service's routes whose priority is that of `urgency` or less
+    /// urgent.
     pub fn longest_objective(&self, service: &str, urgency: u8) -> Option<Duration> {
         let objectives = self.objectives.get(service)?;
-        let behind = objectives.iter().filter(|(other, _)| *other >= urgency);
+        let not_more_urgent = objectives.iter().filter(|(other, _)| *other >= urgency);
 
-        behind.map(|(_, objective)| *objective).max()
+        not_more_urgent.map(|(_, objective)| *objective).max()
     }
 
-    /// Finds a request's route and organisation. `host` may have a port; `key` is what the caller
-    /// proves its organisation with.
+    /// Finds a request's route and organisation. `host` may include a port; `key` is the caller's
+    /// API key.
     pub fn admit(&self, host: &str, path: &str, key: Option<&str>) -> Result<Admitted, Denied> {
         if self.version == 0 {
             return Err(Denied::NoConfiguration);
@@ -184,8 +186,8 @@
         })
     }
 
-    /// Finds the rule with the longest prefix of the path: prefixes end with a slash, so only the
-    /// path's own slashes have to be tried.
+    /// Finds the rule with the longest matching path prefix. Prefixes end with a slash, so only
+    /// the slashes of the path have to be tried.
     fn find_rule(&self, host: &str, path: &str) -> Option<&Arc<RouteRule>> {
         let host = host.rsplit_once(':').map_or(host, |(name, _port)| name);
         let rules = self.hosts.get(&host.to_ascii_lowercase())?;
@@ -196,16 +198,19 @@
     }
 }
 
-/// Gets the urgencies of the requests for each service whose routes differ in urgency, by the routes and by the keys that
-/// may be used there.
+/// Urgency levels of the requests for each service whose routes differ in priority, from the routes
+/// and the organisations that may use them.
 fn urgencies(site: &Site) -> HashMap<ServiceName, Vec<Urgency>> {
     let mut urgencies: HashMap<&str, BTreeSet<Urgency>> = HashMap::new();
-    let own: BTreeSet<Option<u8>> = site.organisations.iter().map(|o| o.priority).collect();
+    let org_priorities: BTreeSet<Option<u8>> =
+        site.organisations.iter().map(|o| o.priority).collect();
 
     for rule in &site.routes {
-        let keyless = rule.is_public || own.is_empty();
-        let holders = own.iter().map(|priority| (priority.unwrap_or(rule.priority), rule.priority));
-        let of_rule: BTreeSet<Urgency> = if keyless {
+        let needs_no_key = rule.is_public || org_priorities.is_empty();
+        let holders = org_priorities
+            .iter()
+            .map(|priority| (priority.unwrap_or(rule.priority), rule.priority));
+        let of_rule: BTreeSet<Urgency> = if needs_no_key {
             BTreeSet::from([(rule.priority, rule.priority)])
         } else {
             holders.collect()
@@ -216,12 +221,13 @@
         }
     }
 
-    // Where operators have not told a service's routes apart, keys alone do not put anybody behind.
-    let is_ranked = |of_service: &BTreeSet<Urgency>| {
+    // Where all routes of a service have one priority, the organisations' priorities alone rank no
+    // requests.
+    let has_levels = |of_service: &BTreeSet<Urgency>| {
         let routes: BTreeSet<u8> = of_service.iter().map(|(_, route)| *route).collect();
         routes.len() > 1
     };
-    let ranked = urgencies.into_iter().filter(|(_, of_service)| is_ranked(of_service));
+    let ranked = urgencies.into_iter().filter(|(_, of_service)| has_levels(of_service));
     let listed = |(service, of_service): (&str, BTreeSet<Urgency>)| {
         (service.to_string(), of_service.into_iter().collect())
     };
@@ -229,7 +235,7 @@
     ranked.map(listed).collect()
 }
 
-/// Gets the longest objective of each service's routes of one urgency.
+/// Longest objective of each service's routes, by priority.
 fn objectives(site: &Site) -> HashMap<ServiceName, Vec<(u8, Duration)>> {
     let mut longest: HashMap<&str, BTreeMap<u8, Duration>> = HashMap::new();
 
@@ -248,7 +254,7 @@
     longest.into_iter().map(listed).collect()
 }
 
-/// Draws one of a route's services by weight.
+/// Draws one of a route's services by weight; `None` if the route has none.
 pub fn draw_service<'a>(rule: &'a RouteRule, random: &mut impl RandomSource) -> Option<&'a str> {
     let total: u64 = rule.services.iter().map(|s| u64::from(s.weight)).sum();
 
@@ -256,16 +262,16 @@
         return rule.services.first().map(|s| s.service.as_str());
     }
 
-    let mut left = (random.unit() * total as f64) as u64;
+    let mut remaining = (random.unit() * total as f64) as u64;
 
     for weighted in &rule.services {
         let weight = u64::from(weighted.weight);
 
-        if left < weight {
+        if remaining < weight {
             return Some(&weighted.service);
         }
 
-        left -= weight;
+        remaining -= weight;
     }
 
     rule.services.last().map(|s| s.service.as_str())
--- a/grebedeck-gateway/src/site.rs
+++ b/grebedeck-gateway/src/site.rs
@@ -1,140 +1,141 @@
-//! What operators say of a site: routes, services, organisations and limits on callers.
+//! A site's configuration as operators write it: routes, services, organisations and limits on
+//! callers.
 
 use std::time::Duration;
 
 use grebedeck_core::{OrganisationName, ServiceName};
 use serde::{Deserialize, Serialize};
 
-/// Version of a site's configuration; it only grows.
+/// Version of a site's configuration, strictly increasing.
 pub type SiteVersion = u64;
-/// A key that a caller proves its organisation with.
+/// API key that identifies a caller's organisation.
 pub type ApiKey = String;
 
-/// A whole configuration.
+/// A complete configuration.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Site {
-    /// Its version.
+    /// Version; 0 where there is none yet.
     pub version: SiteVersion,
-    /// Routes of requests.
+    /// Routes for callers' requests.
     pub routes: Vec<RouteRule>,
     /// Services that targets offer.
     pub services: Vec<ServiceSpec>,
-    /// Organisations with their keys; none where requests carry no keys.
+    /// Organisations with their keys; empty where no request needs a key.
     pub organisations: Vec<Organisation>,
-    /// Limits on what callers send.
+    /// Limits on callers' requests and connections.
     pub limits: CallerLimits,
 }
 
-/// Whether a request may run again.
+/// Kind of a route's requests, which decides whether a request may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RequestKind {
-    /// It may run more than once.
+    /// A request that may run more than once.
     Safe,
-    /// It runs at most once.
+    /// A request that runs at most once.
     Once,
-    /// Its answer is a stream of events.
+    /// A request whose answer is a stream of events.
     Stream {
-        /// Whether another target may go on with a stream that broke; such a request may run again.
+        /// Whether another target can resume a broken stream; such a request may run again.
         is_resumable: bool,
     },
 }
 
 impl RequestKind {
-    /// Tells whether a request may run again after it may have run.
+    /// Whether a request that may already have run may be sent again.
     pub fn is_repeatable(self) -> bool {
         matches!(self, RequestKind::Safe | RequestKind::Stream { is_resumable: true })
     }
 
-    /// Tells whether the answer is a stream of events.
+    /// Whether the answer is a stream of events.
     pub fn is_stream(self) -> bool {
         matches!(self, RequestKind::Stream { .. })
     }
 }
 
-/// A service with its part of a route's requests.
+/// A service with its weight in a route.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WeightedService {
     /// The service.
     pub service: ServiceName,
-    /// Its part, relative to the other services of the route.
+    /// Share of the requests, relative to the other services of the route.
     pub weight: u32,
 }
 
-/// Where requests go, and what may be done with them.
+/// Rule for the requests that match a host and a path prefix.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RouteRule {
-    /// The operators' name of the route.
+    /// Name of the route.
     pub name: String,
-    /// The host that requests name.
+    /// Value of requests' host header, without a port.
     pub host: String,
-    /// Start of the path; it begins and ends with a slash.
+    /// Prefix of the path; begins and ends with a slash.
     pub path_prefix: String,
-    /// Whether a request may run again.
+    /// Kind of the requests.
     pub kind: RequestKind,
-    /// Longest time that a request is held.
+    /// Longest time from a request's arrival to the end of its answer.
     pub time_limit: Duration,
-    /// Time within which an answer, or a stream's first event, is of full use.
+    /// Time within which an answer, or a stream's first event, is fully useful to the caller.
     pub objective: Duration,
-    /// Longest pause between events with which a stream is of full use.
+    /// Longest pause between events with which a stream is fully useful to the caller.
     pub pause_limit: Option<Duration>,
-    /// Rank among routes; 0 is the most urgent.
+    /// Priority among routes; 0 is the most urgent.
     pub priority: u8,
-    /// Services that take the requests.
+    /// Services that serve the requests.
     pub services: Vec<WeightedService>,
-    /// Most targets that one request is sent to.
+    /// Upper bound on the targets that one request is sent to.
     pub max_targets: u32,
-    /// Whether requests need no key.
+    /// Whether requests need no API key.
     pub is_public: bool,
 }
 
 /// A service that targets offer.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ServiceSpec {
-    /// Its name.
+    /// Name of the service.
     pub name: ServiceName,
-    /// Most connections that one of its targets takes from all callers together.
+    /// Upper bound on the connections that one target accepts from all clients together.
     pub max_connections: usize,
-    /// What is known of its engine, for a model.
+    /// Properties of the engine, for a service that runs a model.
     pub engine: Option<EngineSpec>,
     /// How long a target is cold after a start.
     #[serde(default)]
     pub cold_time: Duration,
-    /// Requests a second that a cold target bears; 0 where there is no bound.
+    /// Requests per second that a cold target can take; 0 where there is no bound.
     #[serde(default)]
     pub cold_per_s: f64,
 }
 
-/// What is known of a model's engine.
+/// Properties of a model's engine.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EngineSpec {
-    /// Sets of layers that each have experts of their own.
+    /// Number of sets of layers that each have their own experts.
     pub sets: u16,
-    /// Experts in each set.
+    /// Number of experts in each set.
     pub experts: u16,
-    /// Experts of a set that a rank can hold.
+    /// Number of experts of a set that a rank can hold.
     pub places: u16,
-    /// Most experts of a set that one new map may bring to a rank.
+    /// Upper bound on the experts of a set that one new map adds to a rank.
     pub spare: u16,
-    /// Time of one step without any request, in milliseconds.
+    /// Duration of one step without any request, in milliseconds.
     pub step_ms: f64,
-    /// Prompt tokens read in a second.
+    /// Prompt tokens read per second.
     pub read_tokens_per_s: f64,
-    /// Steps in one pass.
+    /// Number of steps in one pass.
     pub steps_per_pass: u32,
-    /// Tokens of a usual prompt.
+    /// Tokens of a typical prompt.
     pub usual_prompt: u64,
-    /// Tokens of a usual answer; 0 where it is not known.
+    /// Tokens of a typical answer; 0 where unknown.
     #[serde(default)]
     pub usual_answer: u64,
-    /// Time that a group needs to form.
+    /// Time that a group takes to form.
     pub form: Duration,
-    /// Time that a rank needs to copy one expert; zero where it is not known.
+    /// Time that a rank takes to copy one expert; zero where unknown.
     #[serde(default)]
     pub copy: Duration,
 }
 
 impl EngineSpec {
-    /// Gets the passes that a usual answer takes; none where that is not known.
+    /// Number of passes that a typical answer takes; `None` where unknown.
     pub fn usual_passes(&self) -> Option<f64> {
         let passes = self.usual_answer as f64 / f64::from(self.steps_per_pass.max(1));
 
@@ -142,34 +143,34 @@
     }
 }
 
-/// An organisation with its keys.
+/// An organisation with its API keys.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Organisation {
-    /// Its name.
+    /// Name of the organisation.
     pub name: OrganisationName,
-    /// Its keys.
+    /// API keys of its callers.
     pub keys: Vec<ApiKey>,
-    /// Its rank, which goes before its requests' routes' own.
+    /// Priority of its requests, which overrides that of their routes.
     pub priority: Option<u8>,
 }
 
-/// Limits on what callers send.
+/// Limits on callers' requests and connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallerLimits {
-    /// Longest head, in bytes.
+    /// Largest request head, in bytes.
     pub max_head_bytes: usize,
-    /// Longest body, in bytes.
+    /// Largest request body, in bytes.
     pub max_body_bytes: usize,
-    /// How long a request may take to arrive once it has begun.
+    /// Time within which a request must arrive once it has begun.
     pub head_limit: Duration,
-    /// How long a connection may rest between requests.
+    /// Time that a connection may stay idle between requests.
     pub idle_limit: Duration,
 }
 
 impl Default for CallerLimits {
     fn default() -> Self {
-        // In force only until the first configuration is known: generous enough for any request that
-        // is then refused for lack of one.
+        // These apply only until the first configuration is known. They admit any request, so that
+        // it is refused for the lack of a configuration and not for its size.
         CallerLimits {
             max_head_bytes: 16 << 10,
             max_body_bytes: 1 << 20,
--- a/grebedeck-gateway/src/source.rs
+++ b/grebedeck-gateway/src/source.rs
@@ -1,4 +1,4 @@
-//! What a gateway needs of a platform.
+//! Interface of the platform's store, and the types that gateways read from it and write to it.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -12,38 +12,38 @@
 use crate::site::Site;
 use crate::targets::{ListedTarget, TargetId, TargetListing};
 
-/// Count of the store's changes; it only grows.
+/// Version of the store's contents, increasing with each change.
 pub type StoreVersion = u64;
 
-/// What the store held at one moment.
+/// Contents of the store at one version.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Snapshot<T> {
-    /// The store's version at that moment.
+    /// The store's version.
     pub version: StoreVersion,
-    /// What it held.
+    /// Contents at that version.
     pub value: T,
 }
 
-/// What became of a watch.
+/// Result of a watch.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Watched<T> {
-    /// These changes came, in order, up to a version.
+    /// Changes, in order, up to a version.
     Changed {
-        /// The version to go on from.
+        /// Version to continue the watch from.
         version: StoreVersion,
         /// The changes.
         changes: Vec<T>,
     },
-    /// Nothing has changed.
+    /// No changes within the wait.
     Quiet,
-    /// The store has forgotten changes since then; it must be read whole.
+    /// Some of the changes are no longer kept; the whole state must be read.
     HistoryGone,
 }
 
-/// A change of the list of targets.
+/// Change of the list of targets.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TargetChange {
-    /// A target was listed, or its entry changed.
+    /// A target was added, or its entry changed.
     Set(ListedTarget),
     /// A target's entry was removed.
     Removed {
@@ -52,74 +52,74 @@
         /// The target.
         id: TargetId,
     },
-    /// A target's entry cannot be read, so it names no target to use.
+    /// A target's entry is invalid, so the target cannot be used.
     Unreadable {
         /// The store's version of the entry.
         version: StoreVersion,
-        /// The target that it would be about.
+        /// The target, by the key of the entry.
         id: TargetId,
-        /// What is wrong with it.
+        /// Why the entry is invalid.
         reason: String,
     },
 }
 
-/// The gateways that were published.
+/// List of published gateways.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GatewayListing {
-    /// Those whose rows can be read.
+    /// Gateways whose rows are valid.
     pub gateways: Vec<GatewayEntry>,
-    /// Names of the others, with what is wrong with their rows.
+    /// Names of the gateways whose rows are invalid, each with the reason.
     pub unreadable: Vec<(String, String)>,
 }
 
-/// What operators have written.
+/// Operators' requests: the configuration and the evacuated halls.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct OperatorState {
-    /// The newest configuration, where there is one that can be read.
+    /// Newest valid configuration.
     pub site: Option<Site>,
-    /// Halls to which nothing new may go.
+    /// Evacuated halls, which get no new requests.
     pub evacuated: Vec<HallName>,
-    /// What cannot be read. It hides nothing of the rest.
+    /// Keys with invalid values; the other keys are still read.
     pub unreadable: Vec<Unreadable>,
 }
 
-/// A change of what operators have written.
+/// Change of the operators' requests.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum OperatorChange {
     /// A newer configuration.
     Site(Site),
-    /// Nothing new may go to a hall.
+    /// A hall was evacuated.
     Evacuated {
-        /// The store's version of the request.
+        /// The store's version of the evacuation.
         version: StoreVersion,
         /// The hall.
         hall: HallName,
     },
-    /// A hall may get requests again.
+    /// A hall's evacuation was cancelled, so that it takes requests again.
     #[serde(rename = "TakenBack")]
     Reopened {
-        /// The store's version of that.
+        /// The store's version of the cancellation.
         version: StoreVersion,
         /// The hall.
         hall: HallName,
     },
-    /// Something that cannot be read.
+    /// A key with an invalid value.
     Unreadable(Unreadable),
 }
 
-/// A key of the operators' that cannot be read.
+/// A key written by operators whose value is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Unreadable {
-    /// The store's version of it.
+    /// The store's version of the value.
     pub version: StoreVersion,
     /// The key.
     pub key: String,
-    /// What is wrong with it.
+    /// Why the value is invalid.
     pub error: String,
 }
 
 impl OperatorState {
-    /// Gets the configuration; fails where there is one that cannot be read.
+    /// Returns the configuration, or an error if there is only an invalid one.
     pub fn into_site(self) -> Result<Option<Site>> {
         match (self.site, self.unreadable.first()) {
             (None, Some(first)) => platform_error(format!("{}: {}", first.key, first.error)),
@@ -128,82 +128,82 @@
     }
 }
 
-/// A gateway as others find it.
+/// Published entry of a gateway.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GatewayEntry {
     /// The gateway's name.
     pub name: String,
-    /// What others need to know of it.
+    /// How others reach it and where it runs.
     pub info: GatewayInfo,
 }
 
-/// What gateways publish of themselves.
+/// Properties that a gateway publishes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GatewayInfo {
-    /// Where it answers other processes of grebedeck.
+    /// Address for other grebedeck processes.
     pub peer_address: SocketAddr,
-    /// The hall that it stands in.
+    /// The gateway's hall.
     pub hall: String,
-    /// Rate of its link, in megabits a second; 0 where it does not say.
+    /// Link rate in Mbit/s; 0 where not published.
     #[serde(default)]
     pub link_mbps: u32,
 }
 
-/// A request that is not sent any more, as it crashes its targets.
+/// A request that is no longer sent because it crashes its targets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuarantineEntry {
-    /// The request.
+    /// Fingerprint of the request.
     pub request: Fingerprint,
-    /// Trials since.
+    /// Number of times it was tried again since.
     pub trials: u32,
     /// When the entry was written, in Unix milliseconds by the writer's clock.
     pub written_unix_ms: UnixMs,
 }
 
-/// The requests that are in quarantine.
+/// Requests in quarantine.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuarantineListing {
-    /// Them.
+    /// Valid entries.
     pub entries: Vec<QuarantineEntry>,
-    /// Keys whose entries cannot be read, and what is wrong.
+    /// Keys whose entries are invalid, each with the reason.
     pub unreadable: Vec<(String, String)>,
 }
 
-/// The platform's store. Every answer holds all that was acknowledged before; after an error it is not
-/// known whether a write took effect.
+/// The platform's store. Reads reflect every write that was acknowledged before. After an error it
+/// is unknown whether a write took effect.
 pub trait SiteStore: Clone + 'static {
-    /// Reads what operators have written.
+    /// Reads the operators' requests.
     fn read_operator(&self) -> impl Future<Output = Result<Snapshot<OperatorState>>>;
 
-    /// Waits for changes of it.
+    /// Waits up to `wait` for changes of the operators' requests after a version.
     fn watch_operator(
         &self,
         after: StoreVersion,
         wait: Duration,
     ) -> impl Future<Output = Result<Watched<OperatorChange>>>;
 
-    /// Reads the list of targets. One entry that cannot be read hides no other.
+    /// Reads the list of targets. An invalid entry does not affect the others.
     fn read_targets(&self) -> impl Future<Output = Result<Snapshot<TargetListing>>>;
 
-    /// Waits for changes of the list of targets.
+    /// Waits up to `wait` for changes of the list of targets after a version.
     fn watch_targets(
         &self,
         after: StoreVersion,
         wait: Duration,
     ) -> impl Future<Output = Result<Watched<TargetChange>>>;
 
-    /// Publishes a gateway.
+    /// Publishes a gateway's entry.
     fn publish(&self, gateway: &GatewayEntry) -> impl Future<Output = Result<()>>;
 
-    /// Reads all gateways that were published.
+    /// Reads the entries of all gateways.
     fn read_gateways(&self) -> impl Future<Output = Result<GatewayListing>>;
 
-    /// Reads the requests that are in quarantine.
+    /// Reads the requests in quarantine.
     fn read_quarantine(&self) -> impl Future<Output = Result<QuarantineListing>>;
 
-    /// Puts a request into quarantine, or notes a trial of it.
+    /// Quarantines a request, or records a trial of one.
     fn quarantine(&self, entry: &QuarantineEntry) -> impl Future<Output = Result<()>>;
 
-    /// Takes a request out of quarantine.
+    /// Releases a request from quarantine.
     fn release(&self, request: Fingerprint) -> impl Future<Output = Result<()>>;
 }
--- a/grebedeck-gateway/src/wire.rs
+++ b/grebedeck-gateway/src/wire.rs
@@ -1,58 +1,58 @@
-//! Names of the headers that a platform gives a meaning, and what targets say in them.
+//! Names of the platform's HTTP headers, and parsers for the values that targets send in them.
 
-/// Header names; each platform has its own.
+/// Header names of a platform.
 #[derive(Clone, Copy, Debug)]
 pub struct HeaderNames {
-    /// Id of a caller's request; targets echo it.
+    /// Id of a caller's request, which targets echo.
     pub request_id: &'static str,
-    /// Milliseconds for which the sender waits.
+    /// Time that the sender still waits, in milliseconds.
     pub deadline_ms: &'static str,
-    /// The target's signature of an answer; without it, a success is not the target's.
+    /// Signature of an answer by its target; a success without it does not come from the target.
     pub signature: &'static str,
-    /// The organisation, towards targets.
+    /// The caller's organisation, in requests to targets.
     pub organisation: &'static str,
-    /// Id of the only target that may run the request.
+    /// Id of the only target that may run a request.
     pub expected_target: &'static str,
-    /// A target's own id, in its answers.
+    /// Id of the target that sends an answer.
     pub target_id: &'static str,
-    /// A target's load: requests running, requests waiting, slots.
+    /// A target's load: running requests, waiting requests and slots, as in [`TargetLoad`].
     pub load: &'static str,
-    /// Milliseconds for which the target is still cold.
+    /// Time that a target is still cold, in milliseconds.
     pub cold_ms: &'static str,
-    /// Says that the target has not run the request.
+    /// Marks an answer to a request that the target did not run.
     pub not_run: &'static str,
-    /// Id of the last event that the caller of a stream has.
+    /// Id of the last event that the caller of a stream received.
     pub last_event_id: &'static str,
-    /// A caller's proof of its organisation.
+    /// A caller's API key, after the scheme.
     pub authorization: &'static str,
-    /// The scheme in front of a caller's key.
+    /// Authorization scheme in front of a caller's API key.
     pub key_scheme: &'static str,
-    /// A request's tokens: those of the prompt, and the most that are generated.
+    /// A request's tokens: those of its prompt, and the maximum to generate.
     pub tokens: &'static str,
-    /// A request's rank towards a model's engine.
+    /// A request's priority at a model's engine.
     pub priority: &'static str,
-    /// Seconds after which the caller may come back; in a target's refusal, for which it wants nothing from this
-    /// process.
+    /// Seconds after which a caller may retry; in a target's refusal, the time in which it wants no
+    /// requests from this gateway.
     pub retry_after: &'static str,
-    /// Says that the target is leaving.
+    /// Announces that the target is leaving.
     pub leaving: &'static str,
-    /// Requests a second that the target takes from all gateways together.
+    /// Requests per second that the target accepts from all gateways together.
     pub limit: &'static str,
 }
 
-/// What a target's answer says of its load.
+/// A target's load, as announced in an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TargetLoad {
-    /// Requests that run.
+    /// Number of running requests.
     pub running: u32,
-    /// Requests that wait.
+    /// Number of waiting requests.
     pub waiting: u32,
-    /// Requests that can run at the same time.
+    /// Number of requests that can run at the same time.
     pub slots: u32,
 }
 
 impl TargetLoad {
-    /// Reads the value of the load header.
+    /// Parses a value of the load header.
     pub fn parse(text: &str) -> Option<Self> {
         let mut numbers = text.split(',').map(|part| part.trim().parse::<u32>().ok());
         let (running, waiting, slots) = (numbers.next()??, numbers.next()??, numbers.next()??);
@@ -60,19 +60,19 @@
         Some(TargetLoad { running, waiting, slots })
     }
 
-    /// Gets the requests that run or wait.
+    /// Number of running and waiting requests.
     pub fn in_flight(self) -> u32 {
         self.running.saturating_add(self.waiting)
     }
 
-    /// Tells whether the target has a place free.
+    /// Whether the target has a free slot.
     pub fn has_room(self) -> bool {
         self.in_flight() < self.slots
     }
 }
 
-/// Tells whether a target says that it leaves. Whatever is not a plain no is taken for it: a target that is passed over
-/// is missed less than one that ends under a request.
+/// Whether a value of the leaving header announces that the target leaves. Every value but `0`
+/// does: skipping a target without need costs less than a request that its stop interrupts.
 pub fn says_leaving(value: &[u8]) -> bool {
     value.trim_ascii() != b"0"
 }
