--- a/grebedeck-gateway/tests/evacuation.rs
+++ b/grebedeck-gateway/tests/evacuation.rs
@@ -1,4 +1,4 @@
-//! Evacuated halls: which news hold, and when targets leave and return.
+//! Evacuated halls: which changes apply, and when their targets leave and return.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -27,17 +27,17 @@
     }
 }
 
-fn halls(of: &Evacuations) -> Vec<String> {
-    of.halls().map(|(hall, _)| hall.clone()).collect()
+fn halls(halls: &Evacuations) -> Vec<String> {
+    halls.halls().map(|(hall, _)| hall.clone()).collect()
 }
 
-fn named(names: &[&str]) -> Vec<String> {
+fn names(names: &[&str]) -> Vec<String> {
     names.iter().map(|name| name.to_string()).collect()
 }
 
-/// Gets how many of a hall's targets are stopped at a moment.
-fn stopped(of: &Evacuations, hall: &str, now: Moment) -> usize {
-    (0..100).filter(|n| of.excludes(&target(&format!("i-{n}"), hall), now)).count()
+/// Number of a hall's 100 targets that get no new requests at a moment.
+fn excluded(halls: &Evacuations, hall: &str, now: Moment) -> usize {
+    (0..100).filter(|n| halls.excludes(&target(&format!("i-{n}"), hall), now)).count()
 }
 
 fn evacuated_at(at: Moment) -> Evacuations {
@@ -50,62 +50,62 @@
 #[test]
 fn targets_leave_one_after_another_and_well_before_the_bound() {
     let all = evacuated_at(MS(1000));
-    let at = |ms: u64| stopped(&all, "north", MS(1000 + ms));
+    let at = |ms: u64| excluded(&all, "north", MS(1000 + ms));
 
     assert!(at(0) <= 2, "{}", at(0));
     assert!((30..70).contains(&at(833)), "{}", at(833));
     assert_eq!(at(1700), 100);
-    assert_eq!(stopped(&all, "south", MS(9000)), 0);
+    assert_eq!(excluded(&all, "south", MS(9000)), 0);
     let mut before = 0;
 
     for ms in (0..1700).step_by(100) {
-        assert!(at(ms) >= before, "none returns on the way");
-        assert!(at(ms) <= before + 20, "not all in one moment");
+        assert!(at(ms) >= before, "no target returns during the ramp");
+        assert!(at(ms) <= before + 20, "targets leave gradually");
         before = at(ms);
     }
 }
 
 #[test]
-fn a_shorter_bound_is_kept() {
+fn a_shorter_bound_shortens_the_ramp() {
     let mut all = evacuated_at(MS(1000));
     all.set_bound(MS(600));
 
-    assert_eq!(stopped(&all, "north", MS(1201)), 100);
+    assert_eq!(excluded(&all, "north", MS(1201)), 100);
 }
 
 #[test]
-fn what_is_read_at_the_start_holds_at_once() {
+fn an_evacuation_read_at_the_start_applies_at_once() {
     let mut all = Evacuations::default();
-    let events = all.apply_snapshot(9, &named(&["north"]), None, MS(3));
+    let events = all.apply_snapshot(9, &names(&["north"]), None, MS(3));
 
     assert_eq!(events, [HallEvent::Evacuated { hall: "north".into(), version: 9 }]);
-    assert_eq!(stopped(&all, "north", MS(3)), 100);
+    assert_eq!(excluded(&all, "north", MS(3)), 100);
 }
 
-/// News that come late, by a peer or after the store was away, leave less time.
+/// A change that arrives late, through a peer or after an outage of the store, leaves less time.
 #[test]
-fn the_age_of_news_counts() {
-    let told = evacuated_at(MS(4000)).statuses(MS(5000));
+fn the_age_of_a_change_counts() {
+    let statuses = evacuated_at(MS(4000)).statuses(MS(5000));
     let mut other = Evacuations::default();
-    other.merge(&told, MS(90_000));
+    other.merge(&statuses, MS(90_000));
     assert_eq!(
-        stopped(&other, "north", MS(90_000)),
-        stopped(&evacuated_at(MS(0)), "north", MS(1000))
+        excluded(&other, "north", MS(90_000)),
+        excluded(&evacuated_at(MS(0)), "north", MS(1000))
     );
-    assert_eq!(stopped(&other, "north", MS(90_700)), 100);
+    assert_eq!(excluded(&other, "north", MS(90_700)), 100);
 
     let mut young = Evacuations::default();
-    young.merge(&told, MS(10));
-    assert_eq!(stopped(&young, "north", MS(10)), 100, "older than the process");
+    young.merge(&statuses, MS(10));
+    assert_eq!(excluded(&young, "north", MS(10)), 100, "the change is older than the process");
 
     let mut after_trouble = Evacuations::default();
     after_trouble.apply_snapshot(1, &[], None, MS(0));
-    after_trouble.apply_snapshot(7, &named(&["north"]), Some(MS(100)), MS(9000));
-    assert_eq!(stopped(&after_trouble, "north", MS(9000)), 100);
+    after_trouble.apply_snapshot(7, &names(&["north"]), Some(MS(100)), MS(9000));
+    assert_eq!(excluded(&after_trouble, "north", MS(9000)), 100);
 }
 
 #[test]
-fn a_hall_that_is_taken_back_returns_target_by_target() {
+fn a_reopened_hall_returns_target_by_target() {
     let mut all = evacuated_at(MS(1000));
     assert_eq!(all.reopened_at("north"), None);
     let event = all.apply_change(8, &"north".into(), false, MS(9000));
@@ -113,48 +113,48 @@
 
     assert_eq!(all.reopened_at("north"), Some(MS(9000)));
     assert_eq!(all.reopened_at("south"), None);
-    assert!(stopped(&all, "north", MS(9000)) >= 98);
-    assert!((30..70).contains(&stopped(&all, "north", MS(9833))));
-    assert_eq!(stopped(&all, "north", MS(10_700)), 0);
+    assert!(excluded(&all, "north", MS(9000)) >= 98);
+    assert!((30..70).contains(&excluded(&all, "north", MS(9833))));
+    assert_eq!(excluded(&all, "north", MS(10_700)), 0);
     assert!(all.has_transition_between(MS(9500), MS(9600)));
     assert!(!all.has_transition_between(MS(10_700), MS(99_000)));
 }
 
 #[test]
-fn a_hall_that_is_taken_back_soon_stops_nobody_else() {
+fn reopening_a_hall_during_the_ramp_removes_no_further_target() {
     let mut all = evacuated_at(MS(1000));
-    let before = stopped(&all, "north", MS(1400));
+    let before = excluded(&all, "north", MS(1400));
     all.apply_change(8, &"north".into(), false, MS(1400));
 
-    assert!(stopped(&all, "north", MS(1400)) <= before);
-    assert!((1400..3200).all(|ms| stopped(&all, "north", MS(ms)) <= before));
-    assert_eq!(stopped(&all, "north", MS(3200)), 0);
+    assert!(excluded(&all, "north", MS(1400)) <= before);
+    assert!((1400..3200).all(|ms| excluded(&all, "north", MS(ms)) <= before));
+    assert_eq!(excluded(&all, "north", MS(3200)), 0);
 }
 
 #[test]
-fn targets_that_had_not_returned_stay_away_where_the_hall_is_evacuated_again() {
+fn targets_that_have_not_returned_stay_out_when_the_hall_is_evacuated_again() {
     let mut all = evacuated_at(MS(1000));
     all.apply_change(8, &"north".into(), false, MS(9000));
     all.apply_change(9, &"north".into(), true, MS(9400));
 
-    assert_eq!(stopped(&all, "north", MS(9400)), 100);
+    assert_eq!(excluded(&all, "north", MS(9400)), 100);
     assert_eq!(all.reopened_at("north"), None);
 }
 
 #[test]
-fn a_word_that_comes_twice_changes_nothing() {
+fn a_change_that_arrives_twice_has_no_effect() {
     let mut all = evacuated_at(MS(1000));
     let north = "north".to_string();
 
     assert_eq!(all.apply_change(5, &north, true, MS(2500)), None);
-    assert_eq!(all.apply_change(6, &north, true, MS(2600)), None, "set once more");
-    assert_eq!(stopped(&all, "north", MS(2700)), 100, "its time goes on from the first word");
-    assert_eq!(all.apply_change(4, &north, false, MS(2800)), None, "older");
+    assert_eq!(all.apply_change(6, &north, true, MS(2600)), None, "written once more");
+    assert_eq!(excluded(&all, "north", MS(2700)), 100, "the ramp continues from the first change");
+    assert_eq!(all.apply_change(4, &north, false, MS(2800)), None, "an older change");
     assert_eq!(halls(&all), ["north"]);
 }
 
 #[test]
-fn a_gateway_that_was_cut_off_undoes_nothing() {
+fn stale_statuses_of_a_peer_undo_nothing() {
     let cut_off = evacuated_at(MS(0)).statuses(MS(500));
     let mut current = evacuated_at(MS(0));
     current.apply_change(8, &"north".into(), false, MS(9000));
@@ -164,41 +164,44 @@
     assert!(halls(&current).is_empty());
 
     let mut late = evacuated_at(MS(0));
-    let told = current.statuses(MS(9500));
+    let statuses = current.statuses(MS(9500));
     assert_eq!(
-        late.merge(&told, MS(9500)),
+        late.merge(&statuses, MS(9500)),
         [HallEvent::Reopened { hall: "north".into(), version: 8 }]
     );
     assert_eq!(late.reopened_at("north"), Some(MS(9000)));
 }
 
 #[test]
-fn halls_that_a_whole_list_does_not_name_are_taken_back() {
+fn halls_that_a_snapshot_does_not_contain_are_reopened() {
     let mut all = Evacuations::default();
-    all.apply_snapshot(5, &named(&["north", "south"]), None, MS(0));
-    let events = all.apply_snapshot(9, &named(&["south"]), Some(MS(50)), MS(100));
+    all.apply_snapshot(5, &names(&["north", "south"]), None, MS(0));
+    let events = all.apply_snapshot(9, &names(&["south"]), Some(MS(50)), MS(100));
 
     assert_eq!(events, [HallEvent::Reopened { hall: "north".into(), version: 9 }]);
-    assert!(all.apply_snapshot(6, &named(&["north"]), None, MS(200)).is_empty(), "an older list");
+    assert!(
+        all.apply_snapshot(6, &names(&["north"]), None, MS(200)).is_empty(),
+        "an older snapshot"
+    );
     assert_eq!(halls(&all), ["south"]);
 }
 
 #[test]
-fn a_hall_that_nobody_knows_stops_no_target() {
+fn evacuating_an_unknown_hall_affects_no_other_target() {
     let mut all = Evacuations::default();
     all.apply_change(5, &"a%20hall/\u{2603}".into(), true, MS(0));
 
     assert_eq!(halls(&all).len(), 1);
-    assert_eq!(stopped(&all, "north", MS(9000)), 0);
-    assert_eq!(stopped(&all, "a%20hall/\u{2603}", MS(9000)), 100);
+    assert_eq!(excluded(&all, "north", MS(9000)), 0);
+    assert_eq!(excluded(&all, "a%20hall/\u{2603}", MS(9000)), 100);
 }
 
 #[test]
-fn words_are_bounded() {
+fn statuses_are_bounded() {
     let mut all = Evacuations::default();
     let long = "x".repeat(MAX_HALL_NAME_BYTES + 1);
-    let left_out = all.apply_change(1, &long, true, MS(0));
-    assert_eq!(left_out, Some(HallEvent::Dropped { hall: long, version: 1 }));
+    let dropped = all.apply_change(1, &long, true, MS(0));
+    assert_eq!(dropped, Some(HallEvent::Dropped { hall: long, version: 1 }));
 
     for number in 0..MAX_HALLS as u64 {
         all.apply_change(2 + number, &format!("hall-{number}"), true, MS(0));
@@ -208,16 +211,16 @@
     let next = 3 + MAX_HALLS as u64;
     let one_more = all.apply_change(next, &"one-more".into(), true, MS(0));
     assert!(matches!(one_more, Some(HallEvent::Dropped { .. })), "{one_more:?}");
-    assert!(!all.statuses(MS(0)).is_complete, "nobody takes back what was left out here");
+    assert!(!all.statuses(MS(0)).is_complete, "peers must not reopen a hall that was dropped here");
 
-    // Words on halls that were taken back make room, and their older words do not return.
+    // A reopened hall is evicted to make room, and an older change of it has no effect afterwards.
     all.apply_change(next + 1, &"hall-7".into(), false, MS(0));
     all.advance_to(next + 1);
     let room = all.apply_change(next + 2, &"one-more".into(), true, MS(0));
     assert!(matches!(room, Some(HallEvent::Evacuated { .. })), "{room:?}");
     let old = HallStatus { hall: "hall-7".into(), version: 9, is_evacuated: true, age_ms: Some(9) };
-    let told = HallStatuses { version: 9, is_complete: true, statuses: vec![old] };
-    assert!(all.merge(&told, MS(100)).is_empty());
+    let statuses = HallStatuses { version: 9, is_complete: true, statuses: vec![old] };
+    assert!(all.merge(&statuses, MS(100)).is_empty());
 }
 
 fn list_of(entries: &[(&str, &str)]) -> TargetList {
@@ -236,15 +239,15 @@
 }
 
 #[test]
-fn the_list_leaves_out_targets_of_evacuated_halls_and_keeps_them_known() {
+fn targets_of_evacuated_halls_are_not_serving_but_stay_listed() {
     let mut list = list_of(&[("a", "north"), ("b", "south"), ("c", "north")]);
     let evacuate =
-        |halls: &mut Evacuations| halls.apply_snapshot(60, &named(&["north"]), None, MS(9));
+        |halls: &mut Evacuations| halls.apply_snapshot(60, &names(&["north"]), None, MS(9));
     list.change_evacuations(evacuate, MS(9));
 
     assert_eq!(serving(&list), ["b"]);
     assert!(!list.is_evacuated("plain"));
-    assert_eq!(list.all().count(), 3, "what runs there ends in peace");
+    assert_eq!(list.all().count(), 3, "running requests may finish there");
     assert!(list.get("a").is_some());
 
     let both = |halls: &mut Evacuations| halls.apply_change(61, &"south".into(), true, MS(10));
@@ -252,20 +255,20 @@
     list.tick(MS(10) + DEFAULT_EVACUATION_BOUND / 2);
     assert!(serving(&list).is_empty());
     assert!(list.is_evacuated("plain"));
-    assert!(!list.is_evacuated("other"), "there is nothing to evacuate");
+    assert!(!list.is_evacuated("other"), "a service without targets");
 
-    let back = |halls: &mut Evacuations| halls.apply_change(62, &"south".into(), false, MS(9000));
-    list.change_evacuations(back, MS(9000));
+    let reopen = |halls: &mut Evacuations| halls.apply_change(62, &"south".into(), false, MS(9000));
+    list.change_evacuations(reopen, MS(9000));
     list.tick(MS(9000) + DEFAULT_EVACUATION_BOUND / 2);
     assert_eq!(serving(&list), ["b"]);
     assert!(!list.is_evacuated("plain"));
 }
 
 #[test]
-fn targets_that_are_listed_later_stay_out_of_an_evacuated_hall() {
+fn targets_added_to_an_evacuated_hall_are_not_serving() {
     let mut list = list_of(&[("a", "south")]);
     let evacuate =
-        |halls: &mut Evacuations| halls.apply_snapshot(60, &named(&["north"]), None, MS(9));
+        |halls: &mut Evacuations| halls.apply_snapshot(60, &names(&["north"]), None, MS(9));
     list.change_evacuations(evacuate, MS(9));
     let entry = target("new-one", "north");
     let new = grebedeck_gateway::TargetChange::Set(ListedTarget { version: 70, entry });
@@ -275,33 +278,33 @@
 }
 
 #[test]
-fn a_list_knows_when_it_is_to_be_made_anew() {
+fn a_list_detects_that_its_index_is_outdated() {
     let mut list = list_of(&[("a", "north")]);
     let evacuate =
         |halls: &mut Evacuations| halls.apply_change(60, &"north".into(), true, MS(1000));
     list.change_evacuations(evacuate, MS(1000));
 
     assert!(!list.is_index_older(MS(250), MS(1200)));
-    assert!(list.is_index_older(MS(250), MS(9000)), "a process that was frozen on the way");
+    assert!(list.is_index_older(MS(250), MS(9000)), "the process was frozen during the ramp");
     list.tick(MS(9000));
     assert!(serving(&list).is_empty());
     assert!(!list.is_index_older(MS(250), MS(99_000)));
 }
 
-/// What happens to one of some gateways.
+/// Event in a run with several gateways.
 #[derive(Clone, Debug)]
 enum Step {
-    /// The operators write a key, or remove it.
+    /// Operators write or remove a hall's key.
     Write { hall: usize, is_set: bool },
-    /// It reads whole, as the store was some versions ago.
-    Read { gateway: usize, back: u64 },
-    /// Its watch is answered: all changes since its last answer, or of each hall only the last.
-    Watch { gateway: usize, is_brief: bool },
-    /// Some old change comes once more.
-    Again { gateway: usize, back: u64 },
-    /// It asks another gateway.
-    Ask { gateway: usize, other: usize },
-    /// It starts anew.
+    /// A gateway reads the whole state as of some versions ago.
+    Read { gateway: usize, versions_back: u64 },
+    /// A gateway's watch returns all changes since the last, or only the newest of each hall.
+    Watch { gateway: usize, is_compacted: bool },
+    /// A gateway receives an old change again.
+    Repeat { gateway: usize, versions_back: u64 },
+    /// A gateway merges the statuses of another.
+    Merge { gateway: usize, other: usize },
+    /// A gateway restarts.
     Restart { gateway: usize },
 }
 
@@ -312,22 +315,25 @@
     let gateway = 0..GATEWAYS;
 
     prop_oneof![
-        4 => (0..HALLS.len(), any::<bool>()).prop_map(|(hall, is_set)| Step::Write { hall, is_set }),
-        1 => (gateway.clone(), 0..6u64).prop_map(|(gateway, back)| Step::Read { gateway, back }),
+        4 => (0..HALLS.len(), any::<bool>())
+            .prop_map(|(hall, is_set)| Step::Write { hall, is_set }),
+        1 => (gateway.clone(), 0..6u64)
+            .prop_map(|(gateway, versions_back)| Step::Read { gateway, versions_back }),
         3 => (gateway.clone(), any::<bool>())
-            .prop_map(|(gateway, is_brief)| Step::Watch { gateway, is_brief }),
-        1 => (gateway.clone(), 0..9u64).prop_map(|(gateway, back)| Step::Again { gateway, back }),
+            .prop_map(|(gateway, is_compacted)| Step::Watch { gateway, is_compacted }),
+        1 => (gateway.clone(), 0..9u64)
+            .prop_map(|(gateway, versions_back)| Step::Repeat { gateway, versions_back }),
         3 => (gateway.clone(), 0..GATEWAYS)
-            .prop_map(|(gateway, other)| Step::Ask { gateway, other }),
+            .prop_map(|(gateway, other)| Step::Merge { gateway, other }),
         1 => gateway.prop_map(|gateway| Step::Restart { gateway }),
     ]
 }
 
-/// The store's changes: of version n the one at n - 1.
+/// The store's changes; the change of version n is at index n - 1.
 #[derive(Default)]
-struct Truth(Vec<(usize, bool)>);
+struct StoreHistory(Vec<(usize, bool)>);
 
-impl Truth {
+impl StoreHistory {
     fn version(&self) -> u64 {
         self.0.len() as u64
     }
@@ -342,38 +348,38 @@
         halls.into_iter().filter(|(_, is_set)| *is_set).map(|(hall, _)| hall).collect()
     }
 
-    /// Gets the changes after a version, of each hall only the last where it is brief.
-    fn after(&self, version: u64, is_brief: bool) -> Vec<(u64, usize, bool)> {
+    /// Changes after a version; only the newest of each hall if `is_compacted`.
+    fn after(&self, version: u64, is_compacted: bool) -> Vec<(u64, usize, bool)> {
         let numbered = self.0.iter().enumerate().skip(version as usize);
         let all: Vec<_> = numbered.map(|(at, (hall, set))| (at as u64 + 1, *hall, *set)).collect();
         let is_last = |(version, hall, _): &(u64, usize, bool)| {
             !all.iter().any(|(v, h, _)| v > version && h == hall)
         };
 
-        all.iter().filter(|change| !is_brief || is_last(change)).copied().collect()
+        all.iter().filter(|change| !is_compacted || is_last(change)).copied().collect()
     }
 }
 
 #[derive(Default)]
 struct Gateway {
     halls: Evacuations,
-    /// Where its watch goes on from, if it has read whole.
+    /// Version that its watch continues from; `None` before its first read.
     after: Option<u64>,
 }
 
-fn take(gateways: &mut [Gateway], truth: &mut Truth, step: &Step, now: Moment) {
+fn run_step(gateways: &mut [Gateway], store: &mut StoreHistory, step: &Step, now: Moment) {
     match *step {
-        Step::Write { hall, is_set } => truth.0.push((hall, is_set)),
-        Step::Read { gateway, back } => {
-            let version = truth.version().saturating_sub(back);
-            let halls: Vec<String> = truth.at(version).into_iter().collect();
+        Step::Write { hall, is_set } => store.0.push((hall, is_set)),
+        Step::Read { gateway, versions_back } => {
+            let version = store.version().saturating_sub(versions_back);
+            let halls: Vec<String> = store.at(version).into_iter().collect();
             gateways[gateway].halls.apply_snapshot(version, &halls, None, now);
             gateways[gateway].after = Some(version);
         }
-        Step::Watch { gateway, is_brief } => {
+        Step::Watch { gateway, is_compacted } => {
             let gateway = &mut gateways[gateway];
             let changes =
-                gateway.after.map(|after| truth.after(after, is_brief)).unwrap_or_default();
+                gateway.after.map(|after| store.after(after, is_compacted)).unwrap_or_default();
 
             for (version, hall, is_set) in &changes {
                 gateway.halls.apply_change(*version, &HALLS[*hall].into(), *is_set, now);
@@ -384,18 +390,18 @@
                 gateway.after = Some(*newest);
             }
         }
-        Step::Again { gateway, back } => {
+        Step::Repeat { gateway, versions_back } => {
             let halls = &mut gateways[gateway].halls;
-            let version = halls.version().saturating_sub(back);
+            let version = halls.version().saturating_sub(versions_back);
 
             if version > 0 {
-                let (hall, is_set) = truth.0[version as usize - 1];
+                let (hall, is_set) = store.0[version as usize - 1];
                 halls.apply_change(version, &HALLS[hall].into(), is_set, now);
             }
         }
-        Step::Ask { gateway, other } => {
-            let told = gateways[other].halls.statuses(now);
-            gateways[gateway].halls.merge(&told, now);
+        Step::Merge { gateway, other } => {
+            let statuses = gateways[other].halls.statuses(now);
+            gateways[gateway].halls.merge(&statuses, now);
         }
         Step::Restart { gateway } => gateways[gateway] = Gateway::default(),
     }
@@ -405,32 +411,37 @@
     #![proptest_config(ProptestConfig { cases: 3000, failure_persistence: None,
         rng_seed: RngSeed::Fixed(29), ..ProptestConfig::default() })]
 
-    /// Whatever the order of news, a gateway's halls are those of one version of the store, and that version never
-    /// goes back in one life of it.
+    /// In any order of events, a gateway's evacuated halls are those of one version of the store,
+    /// and that version decreases only at a restart.
     #[test]
-    fn halls_are_those_of_one_version_which_only_grows(
+    fn halls_match_one_store_version_that_never_decreases(
         steps in prop::collection::vec(step(), 1..60),
     ) {
-        let mut truth = Truth::default();
+        let mut store = StoreHistory::default();
         let mut gateways: Vec<Gateway> = (0..GATEWAYS).map(|_| Gateway::default()).collect();
 
         for (at, step) in steps.iter().enumerate() {
             let before: Vec<u64> = gateways.iter().map(|g| g.halls.version()).collect();
-            take(&mut gateways, &mut truth, step, MS(at as u64 * 100));
+            run_step(&mut gateways, &mut store, step, MS(at as u64 * 100));
 
             for (number, gateway) in gateways.iter().enumerate() {
                 let version = gateway.halls.version();
                 let has_restarted = matches!(step, Step::Restart { gateway } if *gateway == number);
                 let known: BTreeSet<String> = halls(&gateway.halls).into_iter().collect();
                 prop_assert!(has_restarted || version >= before[number]);
-                prop_assert_eq!(known, truth.at(version), "gateway {} at {}", number, version);
+                prop_assert_eq!(known, store.at(version), "gateway {} at {}", number, version);
             }
         }
 
-        // Whoever asks somebody who knows all knows all.
-        gateways[0].halls.apply_snapshot(truth.version(), &Vec::from_iter(truth.at(truth.version())), None, MS(0));
-        let told = gateways[0].halls.statuses(MS(0));
-        gateways[1].halls.merge(&told, MS(0));
-        prop_assert_eq!(BTreeSet::from_iter(halls(&gateways[1].halls)), truth.at(truth.version()));
+        // After merging from an up-to-date gateway, a gateway is up to date.
+        gateways[0].halls.apply_snapshot(
+            store.version(),
+            &Vec::from_iter(store.at(store.version())),
+            None,
+            MS(0),
+        );
+        let statuses = gateways[0].halls.statuses(MS(0));
+        gateways[1].halls.merge(&statuses, MS(0));
+        prop_assert_eq!(BTreeSet::from_iter(halls(&gateways[1].halls)), store.at(store.version()));
     }
 }
--- a/grebedeck-gateway/tests/limit.rs
+++ b/grebedeck-gateway/tests/limit.rs
@@ -1,4 +1,4 @@
-//! What targets name as their limits, and what a gateway makes of it.
+//! Parsing of the limits that targets announce, and the gateway's state of them.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -27,41 +27,41 @@
     })
 }
 
-fn named(values: &[&str]) -> AnnouncedLimit {
+fn announced(values: &[&str]) -> AnnouncedLimit {
     announced_limit(values.iter().map(|value| value.as_bytes()))
 }
 
-/// An answer as the target makes it usually, to a request sent at this time.
+/// Records a successful answer to a request sent at `sent_ms`.
 fn answer(limits: &mut Limits, of: &TargetEntry, values: &[&str], sent_ms: u64) -> LimitChange {
-    limits.observe(of, named(values), true, at(sent_ms), at(sent_ms + 10))
+    limits.observe(of, announced(values), true, at(sent_ms), at(sent_ms + 10))
 }
 
 #[test]
-fn limits_are_read_and_what_is_none_is_told_apart() {
-    assert_eq!(named(&[]), AnnouncedLimit::Absent);
-    assert_eq!(named(&["1"]), AnnouncedLimit::PerS(1.0));
-    assert_eq!(named(&[" 0.5 "]), AnnouncedLimit::PerS(0.5));
-    assert_eq!(named(&["4", "x", "2.5"]), AnnouncedLimit::PerS(2.5));
-    assert_eq!(named(&["1e-9"]), AnnouncedLimit::PerS(MIN_LIMIT_PER_S));
+fn limits_are_parsed_and_invalid_values_are_detected() {
+    assert_eq!(announced(&[]), AnnouncedLimit::Absent);
+    assert_eq!(announced(&["1"]), AnnouncedLimit::PerS(1.0));
+    assert_eq!(announced(&[" 0.5 "]), AnnouncedLimit::PerS(0.5));
+    assert_eq!(announced(&["4", "x", "2.5"]), AnnouncedLimit::PerS(2.5));
+    assert_eq!(announced(&["1e-9"]), AnnouncedLimit::PerS(MIN_LIMIT_PER_S));
 
     for bad in ["", "none", "-1", "0", "-0", "NaN", "inf", "-inf", "1e300", "1,5", "1 2"] {
-        assert_eq!(named(&[bad]), AnnouncedLimit::Unreadable, "{bad}");
+        assert_eq!(announced(&[bad]), AnnouncedLimit::Unreadable, "{bad}");
     }
 }
 
 #[test]
-fn an_answer_without_a_limit_ends_it_only_if_it_was_asked_for_afterwards() {
+fn an_answer_without_a_limit_ends_it_only_if_its_request_was_sent_after_the_limit_was_learned() {
     let target = start(1);
     let mut limits = Limits::default();
     assert_eq!(answer(&mut limits, &target, &["2"], 100), LimitChange::Set(2.0));
     assert_eq!(answer(&mut limits, &target, &["2"], 150), LimitChange::None);
     assert_eq!(answer(&mut limits, &target, &["3"], 200), LimitChange::Set(3.0));
-    // It was sent before the limit was heard of, and its answer has been overtaken.
+    // The request was sent before the limit was learned, and another answer overtook this one.
     assert_eq!(
         limits.observe(&target, AnnouncedLimit::Absent, true, at(205), at(400)),
         LimitChange::None
     );
-    // A failure says nothing of it.
+    // A failed answer does not end a limit.
     assert_eq!(
         limits.observe(&target, AnnouncedLimit::Absent, false, at(300), at(400)),
         LimitChange::None
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn a_value_that_is_no_limit_changes_nothing_and_is_reported_once() {
+fn an_invalid_limit_changes_nothing_and_is_reported_once() {
     let target = start(1);
     let mut limits = Limits::default();
     assert_eq!(answer(&mut limits, &target, &["-1"], 0), LimitChange::Unreadable);
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn a_limit_is_that_of_one_start_and_goes_with_its_target() {
+fn a_limit_belongs_to_one_start_and_is_removed_with_its_target() {
     let (before, next) = (start(1), start(2));
     let mut limits = Limits::default();
     answer(&mut limits, &before, &["2"], 0);
@@ -102,12 +102,19 @@
 }
 
 proptest! {
-    #![proptest_config(ProptestConfig { rng_seed: proptest::test_runner::RngSeed::Fixed(47), ..ProptestConfig::default() })]
+    #![proptest_config(ProptestConfig {
+        rng_seed: proptest::test_runner::RngSeed::Fixed(47),
+        ..ProptestConfig::default()
+    })]
 
     #[test]
-    fn whatever_is_named_is_a_limit_within_bounds_or_none(values in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..12), 0..4)) {
+    fn any_header_values_give_a_limit_within_bounds_or_none(
+        values in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..12), 0..4),
+    ) {
         match announced_limit(values.iter().map(Vec::as_slice)) {
-            AnnouncedLimit::PerS(per_s) => prop_assert!((MIN_LIMIT_PER_S..=MAX_LIMIT_PER_S).contains(&per_s)),
+            AnnouncedLimit::PerS(per_s) => {
+                prop_assert!((MIN_LIMIT_PER_S..=MAX_LIMIT_PER_S).contains(&per_s))
+            }
             AnnouncedLimit::Absent => prop_assert!(values.is_empty()),
             AnnouncedLimit::Unreadable => prop_assert!(!values.is_empty()),
         }
--- a/grebedeck-gateway/tests/quota.rs
+++ b/grebedeck-gateway/tests/quota.rs
@@ -1,5 +1,5 @@
-//! Gateways that divide the limits of targets among them, played in virtual time: what targets get, what callers get, and what
-//! it costs.
+//! Division of targets' limits among gateways, simulated in virtual time: the load on targets, the
+//! service to callers, and the number of messages.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::{IpAddr, Ipv4Addr};
@@ -13,20 +13,21 @@
 use grebedeck_gateway::quota::{DemandCounter, PERMIT_LIFETIME, QuotaDemand, QuotaGrant};
 use grebedeck_gateway::{Coordinators, Limits, QuotaLedger, TargetEntry, TargetState};
 
-/// Time between two asks of a gateway.
+/// Period of a gateway's requests for permits.
 const PERIOD: Duration = Duration::from_millis(400);
-/// Time that a message takes.
+/// Delay of a message between gateways.
 const LATENCY: Duration = Duration::from_millis(4);
-/// Time that a target takes for an answer.
-const ANSWER: Duration = Duration::from_millis(20);
-/// How long a request waits for a target.
-const PATIENCE: Duration = Duration::from_millis(300);
+/// Time from sending a request to a target until its answer.
+const ANSWER_TIME: Duration = Duration::from_millis(20);
+/// How long a request waits for a permit.
+const MAX_WAIT: Duration = Duration::from_millis(300);
 const TICK: Duration = Duration::from_millis(4);
-/// The operators' rule: what a target gets in this time, as a multiple of its limit, and on top.
+/// The operators' rule: within a window, a target gets at most its limit times the factor, plus the
+/// burst.
 const WINDOW: Duration = Duration::from_secs(4);
-const OVERAGE: f64 = 1.5;
+const OVERAGE_FACTOR: f64 = 1.5;
 const BURST: f64 = 5.0;
-/// What a target is made with that names no limit.
+/// Placeholder for a target that announces no limit.
 const NO_LIMIT: f64 = 0.0;
 
 fn ms(ms: u64) -> Duration {
@@ -56,45 +57,46 @@
     limits: Limits,
     ledger: QuotaLedger,
     coordinators: Coordinators,
-    /// Requests of callers a second.
+    /// Callers' requests per second.
     rate: f64,
     demand: DemandCounter,
     is_up: bool,
     is_idle: bool,
-    asks_at: Moment,
-    /// Asks without an answer: to whom, and when.
-    open: BTreeMap<u64, (IpAddr, Moment)>,
-    /// Until when each request that found no target waits.
+    next_request_at: Moment,
+    /// Requests for permits without a response: the coordinator, and when it was asked.
+    pending: BTreeMap<u64, (IpAddr, Moment)>,
+    /// Deadlines of the requests that wait for a permit.
     waiting: VecDeque<Moment>,
     served: usize,
-    turned_away: usize,
+    rejected: usize,
 }
 
 enum Message {
-    Ask { from: usize, to: usize, round: u64, demands: Vec<QuotaDemand> },
-    Answer { from: usize, to: usize, round: u64, grants: Vec<QuotaGrant> },
+    Request { from: usize, to: usize, sequence: u64, demands: Vec<QuotaDemand> },
+    Response { from: usize, to: usize, sequence: u64, grants: Vec<QuotaGrant> },
     Notify { to: usize, changes: Vec<QuotaGrant> },
-    Head { gateway: usize, target: usize, named: AnnouncedLimit, sent_at: Moment },
+    TargetAnswer { gateway: usize, target: usize, announced: AnnouncedLimit, sent_at: Moment },
 }
 
 struct Fleet {
     now: Moment,
     random: SeededSource,
     targets: Vec<Arc<TargetEntry>>,
-    /// What each target names.
-    named: Vec<AnnouncedLimit>,
+    /// Limit that each target announces.
+    announced: Vec<AnnouncedLimit>,
     gateways: Vec<Gateway>,
-    /// Groups of gateways that hear each other.
-    sides: Vec<usize>,
-    on_the_way: BTreeMap<(Moment, u64), Message>,
-    /// When requests reached each target, from whom, and whether that one had been told of a limit.
+    /// Network partition of each gateway.
+    network_sides: Vec<usize>,
+    in_transit: BTreeMap<(Moment, u64), Message>,
+    /// Requests to each target: when, from which gateway, and whether that gateway knew of the
+    /// limit.
     arrivals: Vec<Vec<(Moment, usize, bool)>>,
     messages: usize,
-    next: u64,
+    next_sequence: u64,
 }
 
 impl Fleet {
-    fn new(gateways: usize, rates: impl Fn(usize) -> f64, named: &[f64]) -> Self {
+    fn new(gateways: usize, rates: impl Fn(usize) -> f64, announced: &[f64]) -> Self {
         let gateway = |number: usize| Gateway {
             limits: Limits::default(),
             ledger: QuotaLedger::default(),
@@ -103,31 +105,31 @@
             demand: DemandCounter::default(),
             is_up: true,
             is_idle: false,
-            asks_at: ms(number as u64 * 7 % 400),
-            open: BTreeMap::new(),
+            next_request_at: ms(number as u64 * 7 % 400),
+            pending: BTreeMap::new(),
             waiting: VecDeque::new(),
             served: 0,
-            turned_away: 0,
+            rejected: 0,
         };
         let mut fleet = Fleet {
             now: Moment::ZERO,
             random: SeededSource::new(47),
-            targets: (0..named.len()).map(target).collect(),
-            named: named.iter().map(|per_s| AnnouncedLimit::PerS(*per_s)).collect(),
+            targets: (0..announced.len()).map(target).collect(),
+            announced: announced.iter().map(|per_s| AnnouncedLimit::PerS(*per_s)).collect(),
             gateways: (0..gateways).map(gateway).collect(),
-            sides: vec![0; gateways],
-            on_the_way: BTreeMap::new(),
-            arrivals: vec![Vec::new(); named.len()],
+            network_sides: vec![0; gateways],
+            in_transit: BTreeMap::new(),
+            arrivals: vec![Vec::new(); announced.len()],
             messages: 0,
-            next: 0,
+            next_sequence: 0,
         };
-        (0..gateways).for_each(|number| fleet.list(number, gateways));
+        (0..gateways).for_each(|number| fleet.set_list(number, gateways));
 
         fleet
     }
 
-    /// A gateway reads a list of the first so many.
-    fn list(&mut self, reader: usize, count: usize) {
+    /// Gives a gateway the list of the first `count` gateways.
+    fn set_list(&mut self, reader: usize, count: usize) {
         let others: BTreeSet<IpAddr> = (0..count).filter(|n| *n != reader).map(address).collect();
         self.gateways[reader].coordinators.set_gateways(others, reader < count, self.now);
     }
@@ -139,9 +141,9 @@
         (0..self.gateways.len()).find(|n| address(*n) == own).expect("one of them")
     }
 
-    fn post(&mut self, delay: Duration, message: Message) {
-        self.next += 1;
-        self.on_the_way.insert((self.now + delay, self.next), message);
+    fn send(&mut self, delay: Duration, message: Message) {
+        self.next_sequence += 1;
+        self.in_transit.insert((self.now + delay, self.next_sequence), message);
     }
 
     fn run_for(&mut self, time: Duration) {
@@ -161,14 +163,15 @@
         }
     }
 
-    /// Callers' requests of one tick: each goes to some target that may get it, waits for one, or is turned away.
+    /// Serves the callers' requests of one tick: each is sent to a target that has a permit, waits,
+    /// or is rejected.
     fn serve_callers(&mut self, number: usize) {
         let now = self.now;
         let mean = self.gateways[number].rate * TICK.as_secs_f64();
         let requests = (mean + self.random.unit()).floor() as usize;
         let gateway = &mut self.gateways[number];
         (0..requests).for_each(|_| gateway.demand.record(now));
-        gateway.waiting.extend((0..requests).map(|_| now + PATIENCE));
+        gateway.waiting.extend((0..requests).map(|_| now + MAX_WAIT));
 
         while let Some(until) = self.gateways[number].waiting.pop_front() {
             let gateway = &mut self.gateways[number];
@@ -182,20 +185,26 @@
             }
 
             if may_send.is_empty() {
-                gateway.turned_away += 1;
+                gateway.rejected += 1;
                 continue;
             }
 
             let chosen = may_send[self.random.below(may_send.len())];
             let target = self.targets[chosen].clone();
-            let permit = gateway.limits.acquire(&target, self.now).expect("one was there");
-            assert!(gateway.limits.confirm_send(&target, permit, self.now), "taken just now");
+            let permit =
+                gateway.limits.acquire(&target, self.now).expect("may_send found a permit");
+            assert!(gateway.limits.confirm_send(&target, permit, self.now), "the permit is new");
             gateway.served += 1;
-            let is_told = gateway.limits.is_limited(&target);
-            self.arrivals[chosen].push((self.now, number, is_told));
-            let named = self.named[chosen];
-            let head = Message::Head { gateway: number, target: chosen, named, sent_at: self.now };
-            self.post(ANSWER, head);
+            let knew_limit = gateway.limits.is_limited(&target);
+            self.arrivals[chosen].push((self.now, number, knew_limit));
+            let announced = self.announced[chosen];
+            let answer = Message::TargetAnswer {
+                gateway: number,
+                target: chosen,
+                announced,
+                sent_at: self.now,
+            };
+            self.send(ANSWER_TIME, answer);
         }
     }
 
@@ -203,74 +212,77 @@
         let now = self.now;
         let gateway = &mut self.gateways[number];
 
-        // Who had nothing to ask asks as soon as there is something.
-        if now < gateway.asks_at || (gateway.is_idle && gateway.waiting.is_empty()) {
+        // A gateway that had nothing to request does so as soon as a request waits.
+        if now < gateway.next_request_at || (gateway.is_idle && gateway.waiting.is_empty()) {
             return;
         }
 
-        gateway.asks_at = now + PERIOD;
-        let over: Vec<u64> = gateway
-            .open
+        gateway.next_request_at = now + PERIOD;
+        let timed_out: Vec<u64> = gateway
+            .pending
             .iter()
             .filter(|(_, (_, at))| now >= *at + PERMIT_LIFETIME)
-            .map(|(round, _)| *round)
+            .map(|(sequence, _)| *sequence)
             .collect();
 
-        for round in over {
-            let (asked, _) = gateway.open.remove(&round).expect("one of them");
+        for sequence in timed_out {
+            let (asked, _) = gateway.pending.remove(&sequence).expect("one of them");
             gateway.coordinators.record_timeout(asked, now);
         }
 
         let wanted = gateway.demand.wanted(now);
-        let mut asks: BTreeMap<IpAddr, Vec<QuotaDemand>> = BTreeMap::new();
+        let mut requests: BTreeMap<IpAddr, Vec<QuotaDemand>> = BTreeMap::new();
 
         for demand in gateway.limits.demands(|_| wanted, now) {
             let to = gateway.coordinators.coordinator(partition_of(&demand.target), now);
-            asks.entry(to).or_default().push(demand);
+            requests.entry(to).or_default().push(demand);
         }
 
-        self.gateways[number].is_idle = asks.is_empty();
+        self.gateways[number].is_idle = requests.is_empty();
 
-        for (to, demands) in asks {
+        for (to, demands) in requests {
             let to = (0..self.gateways.len()).find(|n| address(*n) == to).expect("one of them");
-            self.next += 1;
-            let round = self.next;
-            self.gateways[number].open.insert(round, (address(to), now));
+            self.next_sequence += 1;
+            let sequence = self.next_sequence;
+            self.gateways[number].pending.insert(sequence, (address(to), now));
             self.messages += usize::from(to != number);
-            self.post(LATENCY, Message::Ask { from: number, to, round, demands });
+            self.send(LATENCY, Message::Request { from: number, to, sequence, demands });
         }
     }
 
     fn deliver(&mut self) {
-        while let Some(entry) = self.on_the_way.first_entry() {
+        while let Some(entry) = self.in_transit.first_entry() {
             if entry.key().0 > self.now {
                 return;
             }
 
             match entry.remove() {
-                Message::Head { gateway, target, named, sent_at } => {
+                Message::TargetAnswer { gateway, target, announced, sent_at } => {
                     let target = self.targets[target].clone();
                     let gateway = &mut self.gateways[gateway];
-                    let change = gateway.limits.observe(&target, named, true, sent_at, self.now);
+                    let change =
+                        gateway.limits.observe(&target, announced, true, sent_at, self.now);
                     gateway.is_idle &= change == LimitChange::None;
                 }
-                Message::Ask { from, to, round, demands } => self.answer(from, to, round, &demands),
-                Message::Answer { from, to, round, grants } => {
-                    self.apply(from, to, round, &grants);
+                Message::Request { from, to, sequence, demands } => {
+                    self.respond(from, to, sequence, &demands)
+                }
+                Message::Response { from, to, sequence, grants } => {
+                    self.apply(from, to, sequence, &grants);
                 }
                 Message::Notify { to, changes } => self.apply_grants(to, &changes, self.now),
             }
         }
     }
 
-    fn hears(&self, one: usize, other: usize) -> bool {
+    fn reaches(&self, one: usize, other: usize) -> bool {
         self.gateways[one].is_up
             && self.gateways[other].is_up
-            && self.sides[one] == self.sides[other]
+            && self.network_sides[one] == self.network_sides[other]
     }
 
-    fn answer(&mut self, from: usize, to: usize, round: u64, demands: &[QuotaDemand]) {
-        if !self.hears(from, to) {
+    fn respond(&mut self, from: usize, to: usize, sequence: u64, demands: &[QuotaDemand]) {
+        if !self.reaches(from, to) {
             return;
         }
 
@@ -279,11 +291,11 @@
         let part = |target: &str| gateway.coordinators.limit_fraction(partition_of(target), now);
         let grants = gateway.ledger.grant(address(from), demands, part, now, random);
         self.messages += usize::from(from != to);
-        self.post(LATENCY, Message::Answer { from: to, to: from, round, grants });
+        self.send(LATENCY, Message::Response { from: to, to: from, sequence, grants });
     }
 
-    fn apply(&mut self, from: usize, to: usize, round: u64, grants: &[QuotaGrant]) {
-        if !self.hears(from, to) {
+    fn apply(&mut self, from: usize, to: usize, sequence: u64, grants: &[QuotaGrant]) {
+        if !self.reaches(from, to) {
             return;
         }
 
@@ -291,7 +303,7 @@
         let gateway = &mut self.gateways[to];
         gateway.coordinators.record_answer(address(from), now);
 
-        let Some((_, asked_at)) = gateway.open.remove(&round) else {
+        let Some((_, asked_at)) = gateway.pending.remove(&sequence) else {
             return;
         };
 
@@ -306,7 +318,7 @@
         }
     }
 
-    /// A coordinator tells all others that it reaches what has changed.
+    /// Sends a coordinator's changes to all gateways that it reaches.
     fn notify(&mut self, from: usize) {
         let changes = self.gateways[from].ledger.drain_changes(self.now);
 
@@ -315,20 +327,26 @@
         }
 
         for to in (0..self.gateways.len()).filter(|to| *to != from) {
-            if self.hears(from, to) {
+            if self.reaches(from, to) {
                 self.messages += 1;
                 let changes = changes.clone();
-                self.post(LATENCY, Message::Notify { to, changes });
+                self.send(LATENCY, Message::Notify { to, changes });
             }
         }
     }
 
-    /// Gets the most that a target got within a window from some time on, from some gateways that it had told of its limit.
-    fn busiest(&self, target: usize, from: Moment, is_counted: impl Fn(usize) -> bool) -> usize {
+    /// Highest number of requests that a target got within a window, from the counted gateways that
+    /// knew of its limit.
+    fn max_in_window(
+        &self,
+        target: usize,
+        from: Moment,
+        is_counted: impl Fn(usize) -> bool,
+    ) -> usize {
         let arrivals = &self.arrivals[target];
         let counted: Vec<Moment> = arrivals
             .iter()
-            .filter(|(at, gateway, is_told)| *at >= from && *is_told && is_counted(*gateway))
+            .filter(|(at, gateway, knew_limit)| *at >= from && *knew_limit && is_counted(*gateway))
             .map(|(at, ..)| *at)
             .collect();
         let after = |first: &Moment| {
@@ -344,8 +362,8 @@
         self.arrivals[target].iter().filter(|(at, ..)| *at >= from).count()
     }
 
-    /// Gets the part of a target's limit that was used from some time on.
-    fn used(&self, target: usize, from: Moment, per_s: f64) -> f64 {
+    /// Fraction of a target's limit that was used since `from`.
+    fn used_fraction(&self, target: usize, from: Moment, per_s: f64) -> f64 {
         let got = self.arrivals_since(target, from);
 
         got as f64 / (self.now - from).as_secs_f64() / per_s
@@ -353,28 +371,29 @@
 }
 
 fn allowed(per_s: f64) -> usize {
-    (per_s * WINDOW.as_secs_f64() * OVERAGE + BURST) as usize
+    (per_s * WINDOW.as_secs_f64() * OVERAGE_FACTOR + BURST) as usize
 }
 
 #[test]
-fn the_whole_limit_is_used_and_not_more_where_the_requests_come_to_one_gateway() {
+fn one_gateway_with_all_requests_uses_the_whole_limit_and_no_more() {
     for per_s in [0.5, 1.0, 4.0, 30.0] {
         let rate = |gateway: usize| if gateway == 2 { per_s * 8.0 } else { 0.0 };
         let mut fleet = Fleet::new(4, rate, &[per_s; 4]);
         fleet.run_for(Duration::from_secs(43));
 
         for target in 0..4 {
-            let busiest = fleet.busiest(target, ms(3000), |_| true);
-            assert!(busiest <= allowed(per_s), "{busiest} at {per_s}");
-            let used = fleet.used(target, ms(3000), per_s);
+            let max_in_window = fleet.max_in_window(target, ms(3000), |_| true);
+            assert!(max_in_window <= allowed(per_s), "{max_in_window} at {per_s}");
+            let used = fleet.used_fraction(target, ms(3000), per_s);
             assert!((0.85..=1.1).contains(&used), "{used} of {per_s} was used");
         }
     }
 }
 
-/// With half a request a second for each gateway and with twenty, at four, eight and sixteen of them.
+/// Load: 4, 8 and 16 gateways with 0.5 or 20 requests a second each, and three times as many at
+/// every second one.
 #[test]
-fn the_limit_is_divided_by_what_each_gateway_is_asked_for() {
+fn the_limit_is_divided_in_proportion_to_the_demand_of_each_gateway() {
     for (gateways, rate, per_s) in [(4, 20.0, 2.0), (8, 0.5, 0.25), (16, 20.0, 8.0), (16, 0.5, 0.5)]
     {
         let rates = |gateway: usize| if gateway.is_multiple_of(2) { rate } else { rate * 3.0 };
@@ -382,47 +401,54 @@
         fleet.run_for(Duration::from_secs(403));
 
         for target in 0..6 {
-            let busiest = fleet.busiest(target, ms(3000), |_| true);
-            assert!(busiest <= allowed(per_s), "{busiest} of {} at {gateways}", allowed(per_s));
+            let max_in_window = fleet.max_in_window(target, ms(3000), |_| true);
+            assert!(
+                max_in_window <= allowed(per_s),
+                "{max_in_window} of {} at {gateways}",
+                allowed(per_s)
+            );
         }
 
         let served = |is_busy: bool| -> usize {
             let of = fleet.gateways.iter().enumerate().filter(|(n, _)| (n % 2 == 1) == is_busy);
             of.map(|(_, gateway)| gateway.served).sum()
         };
-        let part = served(true) as f64 / served(false) as f64;
-        let most = if rate < 1.0 { 5.0 } else { 4.0 };
-        assert!((2.0..=most).contains(&part), "{part} times as much with three times the requests");
-        let used: f64 = (0..6).map(|t| fleet.used(t, ms(3000), per_s)).sum::<f64>() / 6.0;
+        let ratio = served(true) as f64 / served(false) as f64;
+        let max_ratio = if rate < 1.0 { 5.0 } else { 4.0 };
+        assert!(
+            (2.0..=max_ratio).contains(&ratio),
+            "{ratio} times as many served with three times the requests"
+        );
+        let used: f64 = (0..6).map(|t| fleet.used_fraction(t, ms(3000), per_s)).sum::<f64>() / 6.0;
         assert!((0.85..=1.1).contains(&used), "{used} of {per_s} at {gateways} gateways");
     }
 }
 
 #[test]
-fn nobody_is_turned_away_beside_a_target_without_a_limit() {
+fn no_request_is_rejected_while_a_target_has_no_limit() {
     let mut fleet = Fleet::new(4, |_| 20.0, &[1.0, 1.0, 1.0]);
-    fleet.named[2] = AnnouncedLimit::Absent;
+    fleet.announced[2] = AnnouncedLimit::Absent;
     fleet.run_for(Duration::from_secs(20));
 
-    assert!(fleet.busiest(0, ms(3000), |_| true) <= allowed(1.0));
-    assert_eq!(fleet.gateways.iter().map(|g| g.turned_away).sum::<usize>(), 0);
+    assert!(fleet.max_in_window(0, ms(3000), |_| true) <= allowed(1.0));
+    assert_eq!(fleet.gateways.iter().map(|g| g.rejected).sum::<usize>(), 0);
 }
 
 #[test]
-fn an_end_of_a_limit_that_one_gateway_hears_reaches_those_that_send_nothing() {
+fn the_end_of_a_limit_reaches_gateways_that_send_no_requests() {
     let mut fleet = Fleet::new(8, |_| 4.0, &[0.25]);
     fleet.run_for(Duration::from_secs(10));
-    fleet.named[0] = AnnouncedLimit::Absent;
+    fleet.announced[0] = AnnouncedLimit::Absent;
     fleet.run_for(Duration::from_secs(10));
 
     let is_free = |gateway: &Gateway| !gateway.limits.is_limited(&fleet.targets[0]);
     assert!(fleet.gateways.iter().all(is_free));
     fleet.run_for(Duration::from_secs(40));
-    assert!(fleet.used(0, ms(20_000), 32.0) > 0.9);
+    assert!(fleet.used_fraction(0, ms(20_000), 32.0) > 0.9);
 }
 
 #[test]
-fn a_limit_holds_however_long_nobody_asks_and_ends_with_the_first_answer_without_it() {
+fn a_limit_outlasts_a_pause_in_requests_and_ends_with_an_answer_without_it() {
     let mut fleet = Fleet::new(4, |_| 4.0, &[1.0]);
     fleet.run_for(Duration::from_secs(6));
     fleet.gateways.iter_mut().for_each(|gateway| gateway.rate = 0.0);
@@ -430,112 +456,115 @@
     let from = fleet.now;
     fleet.gateways.iter_mut().for_each(|gateway| gateway.rate = 4.0);
     fleet.run_for(Duration::from_secs(6));
-    assert!(fleet.busiest(0, from, |_| true) <= allowed(1.0));
+    assert!(fleet.max_in_window(0, from, |_| true) <= allowed(1.0));
 
-    fleet.named[0] = AnnouncedLimit::Absent;
+    fleet.announced[0] = AnnouncedLimit::Absent;
     fleet.run_for(Duration::from_secs(4));
     assert!(fleet.gateways.iter().all(|g| !g.limits.is_limited(&fleet.targets[0])));
 }
 
 #[test]
-fn a_lowered_limit_and_a_raised_one_are_kept_to_by_all() {
+fn all_gateways_follow_a_lowered_and_a_raised_limit() {
     let mut fleet = Fleet::new(4, |_| 10.0, &[8.0]);
     fleet.run_for(Duration::from_secs(10));
-    fleet.named[0] = AnnouncedLimit::PerS(1.0);
-    let lowered = fleet.now;
+    fleet.announced[0] = AnnouncedLimit::PerS(1.0);
+    let lowered_at = fleet.now;
     fleet.run_for(Duration::from_secs(13));
-    assert!(fleet.busiest(0, lowered + ms(3000), |_| true) <= allowed(1.0));
+    assert!(fleet.max_in_window(0, lowered_at + ms(3000), |_| true) <= allowed(1.0));
 
-    fleet.named[0] = AnnouncedLimit::PerS(8.0);
+    fleet.announced[0] = AnnouncedLimit::PerS(8.0);
     fleet.run_for(Duration::from_secs(20));
-    let used = fleet.used(0, lowered + ms(20_000), 8.0);
+    let used = fleet.used_fraction(0, lowered_at + ms(20_000), 8.0);
     assert!(used > 0.8, "{used}");
 }
 
 #[test]
-fn the_next_gateway_gives_permits_where_the_coordinator_has_died_and_comes_back() {
+fn the_next_gateway_issues_permits_while_the_coordinator_is_down_and_after_its_restart() {
     for per_s in [0.5, 2.0, 10.0] {
         let mut fleet = Fleet::new(4, |_| per_s * 2.0, &[per_s]);
         fleet.run_for(Duration::from_secs(20));
         let coordinator = fleet.coordinator_of(0);
         fleet.gateways[coordinator].is_up = false;
-        let died = fleet.now;
+        let died_at = fleet.now;
         fleet.run_for(Duration::from_secs(10));
-        let sent = fleet.arrivals[0].iter().filter(|(at, ..)| *at > died).count();
-        assert!(sent > 0, "some are sent");
+        let sent = fleet.arrivals[0].iter().filter(|(at, ..)| *at > died_at).count();
+        assert!(sent > 0, "some requests are sent");
         fleet.run_for(Duration::from_secs(110));
-        let used = fleet.used(0, died + ms(20_000), per_s);
+        let used = fleet.used_fraction(0, died_at + ms(20_000), per_s);
         assert!(used > 0.8, "{used} of {per_s}");
 
         let own = address(coordinator);
         fleet.gateways[coordinator].ledger = QuotaLedger::default();
         fleet.gateways[coordinator].limits = Limits::default();
         fleet.gateways[coordinator].coordinators = Coordinators::new(own);
-        fleet.list(coordinator, 4);
+        fleet.set_list(coordinator, 4);
         fleet.gateways[coordinator].is_up = true;
         fleet.run_for(Duration::from_secs(30));
 
         let is_counted = |gateway| gateway != coordinator;
-        let busiest = fleet.busiest(0, ms(3000), is_counted);
-        assert!(busiest <= allowed(per_s), "{busiest} of {}", allowed(per_s));
+        let max_in_window = fleet.max_in_window(0, ms(3000), is_counted);
+        assert!(max_in_window <= allowed(per_s), "{max_in_window} of {}", allowed(per_s));
     }
 }
 
 #[test]
-fn a_new_gateway_that_others_do_not_know_yet_gives_out_a_small_part() {
+fn a_new_gateway_that_others_do_not_know_yet_issues_a_small_fraction() {
     for per_s in [0.5, 2.0, 10.0] {
         let mut fleet = Fleet::new(9, |gateway| if gateway < 8 { per_s } else { 0.0 }, &[per_s; 8]);
-        // Until now there were eight.
-        (0..8).for_each(|number| fleet.list(number, 8));
+        // At first there are 8 gateways.
+        (0..8).for_each(|number| fleet.set_list(number, 8));
         fleet.gateways[8].is_up = false;
         fleet.run_for(Duration::from_secs(20));
         fleet.gateways[8].coordinators = Coordinators::new(address(8));
         fleet.gateways[8].is_up = true;
         fleet.gateways[8].rate = per_s;
-        fleet.list(8, 8);
-        fleet.list(8, 9);
+        fleet.set_list(8, 8);
+        fleet.set_list(8, 9);
 
         for number in 0..8 {
             fleet.run_for(ms(1250));
-            fleet.list(number, 9);
+            fleet.set_list(number, 9);
         }
 
         fleet.run_for(Duration::from_secs(30));
 
         for target in 0..8 {
-            let busiest = fleet.busiest(target, ms(3000), |_| true);
-            assert!(busiest <= allowed(per_s), "{busiest} of {}", allowed(per_s));
+            let max_in_window = fleet.max_in_window(target, ms(3000), |_| true);
+            assert!(max_in_window <= allowed(per_s), "{max_in_window} of {}", allowed(per_s));
         }
     }
 }
 
-/// Gateways that are cut off are excused by the operators' rule; each side goes on serving all the same.
+/// Failure: a network partition. The operators' rule exempts gateways that are cut off, but each
+/// side keeps serving.
 #[test]
-fn each_side_of_a_cut_keeps_to_the_limit_and_serves() {
+fn each_side_of_a_network_partition_keeps_the_limit_and_serves() {
     let per_s = 2.0;
     let mut fleet = Fleet::new(6, |_| 6.0, &[per_s]);
     fleet.run_for(Duration::from_secs(20));
     let coordinator = fleet.coordinator_of(0);
     let is_with_it = |gateway: usize| gateway % 2 == coordinator % 2;
-    fleet.sides = (0..6).map(|gateway| gateway % 2).collect();
-    let cut = fleet.now;
+    fleet.network_sides = (0..6).map(|gateway| gateway % 2).collect();
+    let cut_at = fleet.now;
     fleet.run_for(Duration::from_secs(40));
 
     for side in [true, false] {
         let is_counted = |gateway| is_with_it(gateway) == side;
-        assert!(fleet.busiest(0, ms(3000), is_counted) <= allowed(per_s));
-        let got =
-            fleet.arrivals[0].iter().filter(|(at, g, _)| *at > cut + ms(20_000) && is_counted(*g));
+        assert!(fleet.max_in_window(0, ms(3000), is_counted) <= allowed(per_s));
+        let got = fleet.arrivals[0]
+            .iter()
+            .filter(|(at, g, _)| *at > cut_at + ms(20_000) && is_counted(*g));
         assert!(got.count() > 20, "both sides serve");
     }
 
-    fleet.sides = vec![0; 6];
-    let healed = fleet.now;
+    fleet.network_sides = vec![0; 6];
+    let healed_at = fleet.now;
     fleet.run_for(Duration::from_secs(30));
-    assert!(fleet.busiest(0, healed + SETTLE_TIME, |_| true) <= allowed(per_s));
+    assert!(fleet.max_in_window(0, healed_at + SETTLE_TIME, |_| true) <= allowed(per_s));
 }
 
-/// What a gateway sends follows from the number of coordinators, and not from that of gateways or of limited targets.
+/// The number of messages that a gateway sends depends on the number of coordinators, not on that
+/// of gateways or limited targets.
 #[test]
 fn messages_of_a_gateway_do_not_grow_with_the_fleet() {
     let messages_per_s = |gateways: usize, targets: usize| {
@@ -553,31 +582,32 @@
     assert!(per_gateway.iter().all(|messages| *messages <= most), "{per_gateway:?}");
 }
 
-/// Sixty-four gateways with a request a second and a half each would each send one to find a limit out.
+/// Without notifications, each of 64 gateways with 1.5 requests a second would send a request to
+/// learn of a limit.
 #[test]
-fn a_target_in_need_does_not_get_a_request_of_each_gateway_that_was_not_told() {
+fn a_target_with_a_new_limit_does_not_get_a_request_from_every_gateway() {
     let mut fleet = Fleet::new(64, |_| 1.5, &vec![NO_LIMIT; 32]);
-    fleet.named = vec![AnnouncedLimit::Absent; 32];
+    fleet.announced = vec![AnnouncedLimit::Absent; 32];
     fleet.run_for(Duration::from_secs(20));
-    fleet.named = vec![AnnouncedLimit::PerS(0.5); 32];
+    fleet.announced = vec![AnnouncedLimit::PerS(0.5); 32];
     fleet.run_for(Duration::from_secs(3));
-    let told = fleet.now;
+    let notified_at = fleet.now;
     fleet.run_for(Duration::from_secs(20));
 
-    let most = (0..32).map(|target| fleet.arrivals_since(target, told)).max();
+    let most = (0..32).map(|target| fleet.arrivals_since(target, notified_at)).max();
     assert!(most <= Some(15), "{most:?} requests in 20 s at a limit of 0.5 a second");
 }
 
 #[test]
-fn no_message_is_sent_where_no_target_has_a_limit_or_nobody_asks() {
+fn no_message_is_sent_while_no_target_has_a_limit() {
     let mut fleet = Fleet::new(4, |_| 10.0, &[1.0]);
-    fleet.named[0] = AnnouncedLimit::Absent;
+    fleet.announced[0] = AnnouncedLimit::Absent;
     fleet.run_for(Duration::from_secs(10));
     assert_eq!(fleet.messages, 0);
 }
 
 #[test]
-fn permits_are_used_once_and_lapse() {
+fn permits_are_used_once_and_expire() {
     let target = target(0);
     let mut limits = Limits::default();
     limits.observe(&target, AnnouncedLimit::PerS(2.0), true, ms(0), ms(10));
@@ -599,16 +629,16 @@
 
     limits.apply(&target, &grant(1), PERMIT_LIFETIME, ms(100), ms(110));
     let permit = limits.acquire(&target, ms(120)).expect("another");
-    // Its connection took longer than the permit is good for.
+    // Connecting took longer than the lifetime of the permit.
     assert!(!limits.confirm_send(&target, permit, ms(100) + PERMIT_LIFETIME));
     limits.apply(&target, &grant(1), PERMIT_LIFETIME, ms(800), ms(810));
-    assert!(limits.confirm_send(&target, permit, ms(820)), "there is another one by now");
+    assert!(limits.confirm_send(&target, permit, ms(820)), "another permit is available");
     assert!(!limits.may_send(&target, ms(820)));
 }
 
-/// A request whose target was chosen before the limit was heard of needs a permit when it is sent.
+/// A request whose target was chosen before the limit was known needs a permit when it is sent.
 #[test]
-fn what_was_chosen_before_the_limit_was_heard_of_is_not_sent_without_a_permit() {
+fn a_request_from_before_the_limit_is_not_sent_without_a_permit() {
     let target = target(0);
     let mut limits = Limits::default();
     let permit = limits.acquire(&target, ms(0)).expect("no limit yet");
@@ -617,9 +647,10 @@
     assert!(!limits.confirm_send(&target, permit, ms(20)));
 }
 
-/// Rows of gateways that are gone stay in the list; each ask that they leave unanswered costs their targets' permits.
+/// Rows of gateways that are gone stay in the list, and each request that such a gateway leaves
+/// unanswered costs permits.
 #[test]
-fn a_coordinator_that_is_gone_is_asked_less_and_less_often_and_at_once_after_it_has_answered() {
+fn an_unresponsive_coordinator_is_asked_with_backoff_and_normally_after_an_answer() {
     let mut coordinators = Coordinators::new(address(0));
     coordinators.set_gateways((1..4).map(address), true, ms(0));
     let first = coordinators.coordinator(0, ms(0));
@@ -645,9 +676,9 @@
     assert_eq!(coordinators.coordinator(0, now), first);
 }
 
-/// Processes count time from their start, and a limit may have been heard of before that.
+/// Each process counts time from its start, and a limit may have been learned before that.
 #[test]
-fn a_coordinator_that_has_just_started_does_not_end_limits_that_were_heard_of_before() {
+fn a_coordinator_that_has_just_started_does_not_end_limits_learned_before() {
     let target = target(0);
     let mut limits = Limits::default();
     limits.observe(&target, AnnouncedLimit::PerS(2.0), true, ms(50_000), ms(50_010));
@@ -666,7 +697,7 @@
 
     assert!(limits.is_limited(&target));
 
-    // And a gateway that has just started takes what others heard before.
+    // A gateway that has just started applies limits that others learned before.
     let mut started = Limits::default();
     started.apply(&target, &grants[0], PERMIT_LIFETIME, ms(500), ms(508));
     assert!(started.is_limited(&target));
--- a/grebedeck-gateway/tests/relay.rs
+++ b/grebedeck-gateway/tests/relay.rs
@@ -1,4 +1,4 @@
-//! Whom gateways follow for what the store holds, and what they answer those that follow them.
+//! Selection of relays for the store's contents, and the feeds that relays serve to followers.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -12,7 +12,7 @@
 const MS: fn(u64) -> Duration = Duration::from_millis;
 const HALLS: usize = 5;
 
-/// All gateways of a hall, each with the same list.
+/// Selectors of all gateways of a hall, each with the same list.
 fn hall_of(size: usize) -> Vec<RelaySelector<String>> {
     hall_with_links(size, |_| 100)
 }
@@ -40,7 +40,7 @@
     (0..hall.len()).filter(reads).collect()
 }
 
-/// Gets the followers of each relay.
+/// Number of followers of each relay.
 fn followers(hall: &[RelaySelector<String>], now: Duration) -> HashMap<String, usize> {
     let mut followers = HashMap::new();
 
@@ -53,15 +53,16 @@
     followers
 }
 
-/// Load: four sizes of a fleet in five halls. What reads the store must not grow with the gateways.
+/// Load: four sizes of a fleet in five halls. The number of gateways that read the store must not
+/// grow with the fleet.
 #[test]
-fn those_that_read_the_store_do_not_grow_with_the_gateways() {
+fn the_number_of_store_readers_does_not_grow_with_the_gateways() {
     let counts = [20, 40, 80, 160].map(|size| {
         let hall = hall_of(size);
         let readers = readers(&hall, MS(0)).len();
         let followers = followers(&hall, MS(0));
 
-        assert_eq!(followers.len(), 1, "all follow the same one");
+        assert_eq!(followers.len(), 1, "all follow the same relay");
         assert_eq!(followers.values().sum::<usize>(), size - readers);
         readers * HALLS
     });
@@ -69,7 +70,8 @@
     assert_eq!(counts, [HALLS; 4]);
 }
 
-/// Load: a configuration that goes to all followers of a relay at once, and streams that pass the same link.
+/// Load: a relay sends a configuration to all followers at once over the link that carries callers'
+/// streams.
 #[test]
 fn a_gateway_with_the_largest_link_is_the_relay() {
     let hall = hall_with_links(40, |at| if at % 10 == 3 { 1000 } else { 40 });
@@ -87,7 +89,7 @@
 }
 
 #[test]
-fn the_next_gateway_takes_the_place_of_a_relay_that_is_gone() {
+fn the_next_gateway_replaces_a_relay_that_is_gone() {
     let mut hall = hall_of(20);
     let gone = readers(&hall, MS(0))[0];
 
@@ -99,15 +101,15 @@
     let sources = staying.iter().map(|at| hall[*at].source(MS(1)));
     let next: Vec<Source<String>> = sources.filter(|s| *s != Source::Store).collect();
 
-    assert_eq!(next.len(), staying.len() - 1, "another one reads the store");
+    assert_eq!(next.len(), staying.len() - 1, "one other gateway reads the store");
     assert!(next.iter().all(|s| *s == next[0] && *s != Source::Relay(name(gone))));
-    // It is tried again later.
+    // The relay is tried again after the backoff.
     let is_gone = |s: Source<String>| s == Source::Relay(name(gone));
     assert!(staying.iter().map(|at| hall[*at].source(MS(11_000))).all(is_gone));
 }
 
 #[test]
-fn a_gateway_that_is_asked_reads_the_store_for_a_while() {
+fn a_gateway_with_a_follower_reads_the_store_until_its_lease_ends() {
     let mut hall = hall_of(20);
     let readers = readers(&hall, MS(0));
     let asked = (0..20).find(|at| !readers.contains(at)).expect("a follower");
@@ -117,9 +119,9 @@
     assert_ne!(hall[asked].source(MS(4_200)), Source::Store);
 }
 
-/// One failure: the store turns some gateways away, relays among them, and serves the others.
+/// Failure: the store refuses some gateways, relays among them, and serves the others.
 #[test]
-fn a_gateway_that_the_store_turns_away_follows_one_that_it_serves() {
+fn a_relay_that_the_store_refuses_follows_another_gateway() {
     let mut hall = hall_of(20);
     let relay = readers(&hall, MS(0))[0];
     hall[relay].record_store_failure(MS(0));
@@ -130,9 +132,12 @@
 }
 
 proptest! {
-    /// Whatever each has seen fail, nobody follows itself, and who is alone reads the store.
+    /// No gateway follows itself, whichever failures it has recorded.
     #[test]
-    fn nobody_follows_itself(size in 1..30usize, failed in prop::collection::vec(0..30usize, 0..40)) {
+    fn no_gateway_follows_itself(
+        size in 1..30usize,
+        failed in prop::collection::vec(0..30usize, 0..40),
+    ) {
         let mut hall = hall_of(size);
 
         for (step, failed) in failed.iter().enumerate() {
@@ -166,7 +171,7 @@
     TargetChange::Removed { version, id: format!("t-{id}") }
 }
 
-fn first(version: u64) -> Snapshot<TargetListing> {
+fn empty_snapshot(version: u64) -> Snapshot<TargetListing> {
     Snapshot { version, value: TargetListing::default() }
 }
 
@@ -175,11 +180,11 @@
 }
 
 #[test]
-fn a_feed_tells_what_changed_after_any_version_since_it_was_read() {
+fn a_feed_returns_the_changes_after_any_version_since_its_first_read() {
     let mut feed: Feed<TargetListing> = Feed::default();
     assert_eq!(feed.changes_after(0), Watched::HistoryGone, "nothing was read");
 
-    feed.replace(first(10), MS(0));
+    feed.replace(empty_snapshot(10), MS(0));
     feed.extend(&changed(12, vec![set(11, 1, 4), set(12, 2, 4)]), MS(5));
     feed.extend(&changed(14, vec![removed(14, 1)]), MS(9));
 
@@ -188,16 +193,16 @@
     assert_eq!(feed.changes_after(10), changed(14, all));
     assert_eq!(feed.changes_after(12), changed(14, vec![removed(14, 1)]));
     assert_eq!(feed.changes_after(14), Watched::Quiet);
-    // A relay that is behind its follower has nothing to tell.
+    // A relay that is behind its follower has no changes for it.
     assert_eq!(feed.changes_after(20), Watched::Quiet);
     assert_eq!(feed.age(MS(20)), MS(11));
 }
 
 #[test]
-fn a_feed_whose_store_has_failed_says_so_until_it_is_read_again() {
+fn a_feed_is_stale_from_a_failed_call_until_the_next_answer() {
     let mut feed: Feed<TargetListing> = Feed::default();
     assert_eq!(feed.state(), FeedState::Empty);
-    feed.replace(first(1), MS(0));
+    feed.replace(empty_snapshot(1), MS(0));
     assert_eq!(feed.state(), FeedState::Fresh);
     feed.mark_stale();
     assert_eq!(feed.state(), FeedState::Stale);
@@ -206,11 +211,11 @@
 }
 
 proptest! {
-    /// Whoever reads and then follows has what the store has, wherever the feed stands and however much it keeps.
+    /// The state of a feed equals that of the store after any sequence of changes.
     #[test]
-    fn a_feed_is_what_the_store_has(steps in prop::collection::vec((0..6u8, 0..4u32), 1..200)) {
+    fn a_feed_equals_the_store(steps in prop::collection::vec((0..6u8, 0..4u32), 1..200)) {
         let mut feed: Feed<TargetListing> = Feed::default();
-        feed.replace(first(0), MS(0));
+        feed.replace(empty_snapshot(0), MS(0));
         let mut store: HashMap<String, u32> = HashMap::new();
 
         for (step, (id, slots)) in steps.into_iter().enumerate() {
@@ -225,7 +230,7 @@
             feed.extend(&changed(version, vec![change]), MS(0));
         }
 
-        let read = feed.read().expect("it was read");
+        let read = feed.read().expect("the feed was read");
         let listed = read.value.targets.iter().map(|t| (t.entry.id.clone(), t.entry.slots));
         prop_assert_eq!(listed.collect::<HashMap<_, _>>(), store);
     }
--- a/grebedeck-gateway/tests/routes.rs
+++ b/grebedeck-gateway/tests/routes.rs
@@ -1,4 +1,4 @@
-//! Routes and organisations of requests.
+//! Lookup of a request's route, organisation and urgency.
 
 use std::time::Duration;
 
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn the_longest_prefix_wins() {
+fn the_longest_matching_prefix_is_used() {
     let table = RouteTable::new(&site());
     let name =
         |path: &str| table.admit("api.example:8080", path, Some("k1")).map(|a| a.rule.name.clone());
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_key_names_its_organisation() {
+fn a_key_identifies_its_organisation() {
     let table = RouteTable::new(&site());
     let admitted = table.admit("api.example", "/a/", Some("k1")).expect("a known key");
 
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn without_a_configuration_nothing_is_denied_for_good() {
+fn without_a_configuration_requests_are_answered_with_503() {
     let denied = RouteTable::default().admit("api.example", "/a/", None).map(|_| ());
 
     assert_eq!(denied, Err(Denied::NoConfiguration));
@@ -95,15 +95,15 @@
     assert_eq!(count("a") + count("b"), 1000);
 }
 
-/// Where a service's routes differ in urgency requests are ranked: a key's goes first, its route's decides within it.
-/// Where they do not, keys alone rank nobody.
+/// Requests are ranked where a service's routes differ in priority: by the organisation's priority,
+/// then by the route's. Organisations' priorities alone rank no requests.
 #[test]
-fn services_whose_requests_differ_in_urgency_are_known() {
+fn urgency_levels_need_routes_of_different_priority() {
     let table = RouteTable::new(&site());
-    assert!(!table.has_urgency_levels("plain"), "two routes of one urgency");
+    assert!(!table.has_urgency_levels("plain"), "its routes have one priority");
     assert!(!table.has_urgency_levels("other"));
 
-    let of_keys = |priorities: &[Option<u8>], routes: Vec<RouteRule>| {
+    let with_priorities = |priorities: &[Option<u8>], routes: Vec<RouteRule>| {
         let organisations = priorities.iter().enumerate().map(|(at, priority)| Organisation {
             name: format!("o{at}"),
             keys: vec![format!("k{at}")],
@@ -112,11 +112,16 @@
         RouteTable::new(&Site { routes, organisations: organisations.collect(), ..site() })
     };
     let urgent = RouteRule { priority: 0, ..rule("urgent", "/u/") };
-    assert!(!of_keys(&[Some(1), Some(1)], vec![rule("a", "/a/")]).has_urgency_levels("plain"));
-    assert!(!of_keys(&[Some(1), None], vec![rule("a", "/a/")]).has_urgency_levels("plain"));
-
-    let table = of_keys(&[Some(1), Some(1)], vec![rule("a", "/a/"), urgent]);
-    assert!(table.has_urgency_levels("plain"), "all keys have one rank, and the routes differ");
+    assert!(
+        !with_priorities(&[Some(1), Some(1)], vec![rule("a", "/a/")]).has_urgency_levels("plain")
+    );
+    assert!(!with_priorities(&[Some(1), None], vec![rule("a", "/a/")]).has_urgency_levels("plain"));
+
+    let table = with_priorities(&[Some(1), Some(1)], vec![rule("a", "/a/"), urgent]);
+    assert!(
+        table.has_urgency_levels("plain"),
+        "all organisations have one priority, but the routes differ"
+    );
     let rank = |path: &str| {
         let admitted = table.admit("api.example", path, Some("k0")).expect("a known key");
         table.rank("plain", admitted.urgency())
@@ -126,7 +131,7 @@
 }
 
 #[test]
-fn the_longest_objective_is_that_of_routes_as_urgent_or_less() {
+fn the_longest_objective_is_that_of_routes_of_the_same_or_lower_urgency() {
     let objective_ms = |ms: u64| Duration::from_millis(ms);
     let urgent = RouteRule { priority: 0, objective: objective_ms(900), ..rule("a", "/a/") };
     let later = RouteRule { priority: 2, objective: objective_ms(500), ..rule("b", "/b/") };
