--- a/grebedeck-gateway/src/lib.rs
+++ b/grebedeck-gateway/src/lib.rs
@@ -21,7 +21,6 @@
 pub mod pacing;
 pub mod patience;
 pub mod quota;
-pub mod reader;
 pub mod refusals;
 pub mod relay;
 pub mod rest;
@@ -31,6 +30,7 @@
 pub mod source;
 pub mod targets;
 pub mod wire;
+pub mod write_timeout;
 
 pub use answer::{RunState, Verdict, judge};
 pub use choice::chooser_options;
