--- a/grebedeck-gateway/src/limit.rs
+++ b/grebedeck-gateway/src/limit.rs
@@ -26,7 +26,8 @@
 /// Lowest limit that is applied, in requests per second. A target must get a request now and then,
 /// or gateways would never learn that its limit has ended.
 pub const MIN_LIMIT_PER_S: RatePerS = 0.05;
-/// Highest limit that is accepted as valid, in requests per second; more than one target serves.
+/// Highest limit that is accepted as valid, in requests per second; more than any single target
+/// serves.
 pub const MAX_LIMIT_PER_S: RatePerS = 100_000.0;
 
 /// How long a change is sent to the coordinator, with or without demand for permits: several
@@ -35,7 +36,7 @@
 /// How long the end of a limit is kept, so that a stale message does not restore the limit.
 const END_RETENTION: Duration = Duration::from_secs(30);
 
-/// Age at which information counts as equally old.
+/// Greatest age that is distinguished; older information counts as this old.
 const MAX_AGE: Duration = Duration::from_secs(24 * 3600);
 
 /// When something was learned, which may have been before this process started.
