--- a/grebedeck-gateway/src/lib.rs
+++ b/grebedeck-gateway/src/lib.rs
@@ -1,9 +1,9 @@
-//! Decisions on requests that go from a gateway straight to their targets.
+//! Decision logic of a gateway, which sends requests directly to their targets.
 //!
-//! A gateway is an entry on a platform whose targets name themselves: each request carries the id of
-//! the target that it is meant for, and another target refuses it. So no agent has to stand between
-//! them. All of this crate is pure; the shells are in the `grebedeck` crate, and [`source`] names what
-//! they need of a platform.
+//! A gateway serves a platform whose targets identify themselves: each request carries the id of
+//! the target that it is meant for, and any other target refuses it. So no agent is needed between
+//! a gateway and its targets. This crate does no I/O. The tasks that do are in the `grebedeck`
+//! crate, and [`source`] defines the interface to a platform's store.
 
 #![forbid(unsafe_code)]
 
@@ -21,7 +21,6 @@
 pub mod pacing;
 pub mod patience;
 pub mod quota;
-pub mod reader;
 pub mod refusals;
 pub mod relay;
 pub mod rest;
@@ -31,26 +30,28 @@
 pub mod source;
 pub mod targets;
 pub mod wire;
+pub mod write_timeout;
 
 pub use answer::{RunState, Verdict, judge};
 pub use choice::chooser_options;
 pub use cold::{ColdGate, ColdPart};
 pub use coordinator::Coordinators;
-pub use evacuation::{Evacuations, HallEvent, HallWord, HallWords};
+pub use evacuation::{Evacuations, HallEvent, HallStatus, HallStatuses};
 pub use events::{Event, EventBuffer};
-pub use feed::{Feed, FeedState, Fold};
+pub use feed::{ApplyChange, Feed, FeedState};
 pub use limit::{Limits, Permit};
 pub use outage::{Availability, Outage, OutageOptions};
 pub use pacing::{Pacing, PacingOptions, PromptRate};
 pub use patience::{Patience, PatienceOptions};
 pub use quota::{QuotaLedger, QuotaMessage};
 pub use refusals::Refusals;
-pub use relay::{RelayOptions, Relays, Source};
+pub use relay::{RelayOptions, RelaySelector, Source};
 pub use rest::Rest;
 pub use retry::{WindowBudget, WindowOptions};
 pub use routes::{Admitted, Denied, RouteTable};
 pub use site::{
-    CallerLimits, EngineSpec, Kind, Organisation, RouteRule, ServiceSpec, Site, Weighted,
+    CallerLimits, EngineSpec, Organisation, RequestKind, RouteRule, ServiceSpec, Site,
+    WeightedService,
 };
 pub use source::{
     GatewayEntry, GatewayInfo, GatewayListing, OperatorChange, OperatorState, SiteStore, Snapshot,
