--- a/grebedeck-gateway/src/choice.rs
+++ b/grebedeck-gateway/src/choice.rs
@@ -26,7 +26,7 @@
         draws: DRAWS,
         waiting_weight: WAITING_WEIGHT,
         report_lifetime: REPORT_LIFETIME,
-        slow_from: SLOW_FROM,
+        slow_threshold: SLOW_FROM,
         ..ChooserOptions::default()
     }
 }
--- a/grebedeck-gateway/src/leaving.rs
+++ b/grebedeck-gateway/src/leaving.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use grebedeck_core::Moment;
-use grebedeck_routing::Birth;
+use grebedeck_routing::StartId;
 
 use crate::targets::{TargetEntry, TargetId};
 
@@ -42,7 +42,7 @@
 /// Starts of targets that said that they leave, and when they did.
 #[derive(Clone, Debug, Default)]
 pub struct LeavingWords {
-    said: BTreeMap<(TargetId, Birth), Said>,
+    said: BTreeMap<(TargetId, StartId), Said>,
 }
 
 impl LeavingWords {
--- a/grebedeck-gateway/src/limit.rs
+++ b/grebedeck-gateway/src/limit.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use grebedeck_core::Moment;
-use grebedeck_routing::Birth;
+use grebedeck_routing::StartId;
 
 use crate::quota::{QuotaDemand, QuotaGrant};
 use crate::targets::{TargetEntry, TargetId};
@@ -96,7 +96,7 @@
 /// A target's limit, as this gateway knows it.
 #[derive(Clone, Debug, Default)]
 struct Known {
-    birth: Birth,
+    birth: StartId,
     per_s: Option<RatePerS>,
     /// When the limit, or its end, was heard of last.
     heard_at: Option<HeardAt>,
--- a/grebedeck-gateway/src/quota.rs
+++ b/grebedeck-gateway/src/quota.rs
@@ -16,7 +16,7 @@
 use std::time::Duration;
 
 use grebedeck_core::{Moment, RandomSource};
-use grebedeck_routing::Birth;
+use grebedeck_routing::StartId;
 use serde::{Deserialize, Serialize};
 
 use crate::coordinator::GatewayAddress;
@@ -85,7 +85,7 @@
     /// The target.
     pub target: TargetId,
     /// Its start.
-    pub birth: Birth,
+    pub birth: StartId,
     /// The limit that it named last; none if it named none.
     pub limit: Option<RatePerS>,
     /// How long ago it was heard of.
@@ -102,7 +102,7 @@
     /// The target.
     pub target: TargetId,
     /// Its start.
-    pub birth: Birth,
+    pub birth: StartId,
     /// The limit that it named last, to whichever gateway; none if it named none.
     pub limit: Option<RatePerS>,
     /// How long ago that gateway heard of it.
@@ -269,9 +269,9 @@
 /// What a coordinator gives out.
 #[derive(Clone, Debug, Default)]
 pub struct QuotaLedger {
-    accounts: BTreeMap<(TargetId, Birth), Account>,
+    accounts: BTreeMap<(TargetId, StartId), Account>,
     /// Targets that have a limit since then, or none any more, until all are told.
-    changed: BTreeSet<(TargetId, Birth)>,
+    changed: BTreeSet<(TargetId, StartId)>,
 }
 
 impl QuotaLedger {
--- a/grebedeck-gateway/src/targets.rs
+++ b/grebedeck-gateway/src/targets.rs
@@ -14,7 +14,7 @@
 
 use grebedeck_core::{HallName, Moment, ServiceName};
 use grebedeck_routing::subset::{SubsetOptions, subset};
-use grebedeck_routing::{Birth, Candidate};
+use grebedeck_routing::{Candidate, StartId};
 use serde::{Deserialize, Serialize};
 
 use crate::evacuation::Evacuations;
@@ -54,7 +54,7 @@
     pub state: TargetState,
     /// Unix milliseconds of its start by its own clock, where it tells them. They are compared for one target
     /// only, as clocks differ, and only for being the same: of two, the one that was written later counts.
-    pub born_ms: Birth,
+    pub born_ms: StartId,
     /// How much longer it is cold, as of when the entry was written.
     pub cold: Duration,
 }
--- a/grebedeck-gateway/tests/choice.rs
+++ b/grebedeck-gateway/tests/choice.rs
@@ -27,7 +27,7 @@
 }
 
 fn report(running: u32, waiting: u32) -> LoadReport {
-    LoadReport { in_flight: running + waiting, waiting, places: 10 }
+    LoadReport { in_flight: running + waiting, waiting, slots: 10 }
 }
 
 #[test]
@@ -41,13 +41,13 @@
 
         for (number, target) in all.iter().enumerate() {
             // One of them has nothing to do.
-            chooser.reported(&target.id, report(u32::from(number > 0), 0), NOW);
+            chooser.record_report(&target.id, report(u32::from(number > 0), 0), NOW);
         }
 
         // What one gateway sends until the loads are told anew.
         for _ in 0..3 {
             let target = chooser.choose(&all, &[], NOW, &mut random).unwrap();
-            chooser.sent(&target.id);
+            chooser.record_sent(&target.id);
             *chosen.entry(target.id.clone()).or_default() += 1;
         }
     }
@@ -61,8 +61,8 @@
     let all = targets(2);
     let mut random = SeededSource::new(1);
     let mut chooser = Chooser::new("hall", chooser_options());
-    chooser.reported("target-000", report(0, 2), NOW);
-    chooser.reported("target-001", report(6, 0), NOW);
+    chooser.record_report("target-000", report(0, 2), NOW);
+    chooser.record_report("target-001", report(6, 0), NOW);
 
     assert!((0..50).all(|_| {
         let chosen = chooser.choose(&all, &[], NOW, &mut random).unwrap();
@@ -75,9 +75,9 @@
     let all = targets(2);
     let mut random = SeededSource::new(1);
     let mut chooser = Chooser::new("hall", chooser_options());
-    chooser.reported("target-000", report(0, 0), NOW);
-    chooser.reported("target-001", report(3, 0), NOW);
-    chooser.sent("target-000");
+    chooser.record_report("target-000", report(0, 0), NOW);
+    chooser.record_report("target-001", report(3, 0), NOW);
+    chooser.record_sent("target-000");
 
     assert!((0..50).all(|_| {
         let chosen = chooser.choose(&all, &[], NOW, &mut random).unwrap();
@@ -114,27 +114,27 @@
 #[test]
 fn what_was_known_of_an_earlier_start_does_not_stand_for_the_next() {
     let mut chooser = Chooser::new("hall", chooser_options());
-    chooser.listed("a", Some(1), 10);
-    chooser.reported("a", report(10, 30), NOW);
+    chooser.record_listing("a", Some(1), 10);
+    chooser.record_report("a", report(10, 30), NOW);
     chooser.set_slowdown("a", 12.0, NOW);
 
     for _ in 0..3 {
-        chooser.sent_at("a", Some(1));
-        chooser.ended_at("a", Some(1), Some(false), NOW);
+        chooser.record_sent_to_start("a", Some(1));
+        chooser.record_end_at_start("a", Some(1), Some(false), NOW);
     }
 
-    chooser.sent_at("a", Some(1));
-    chooser.listed("a", Some(2), 4);
+    chooser.record_sent_to_start("a", Some(1));
+    chooser.record_listing("a", Some(2), 4);
     let view = chooser.load_view("a", NOW);
-    assert_eq!((view.in_flight, view.places, view.report_age), (0.0, 4.0, None));
+    assert_eq!((view.in_flight, view.slots, view.report_age), (0.0, 4.0, None));
     let all = targets(1);
     assert_eq!(chooser.worst_slowdown(&all, NOW), 1.0);
 
     // How the earlier start's request ends is nothing to the next one.
-    chooser.sent_at("a", Some(2));
-    chooser.ended_at("a", Some(1), Some(false), NOW);
-    chooser.sent_at("a", Some(1));
+    chooser.record_sent_to_start("a", Some(2));
+    chooser.record_end_at_start("a", Some(1), Some(false), NOW);
+    chooser.record_sent_to_start("a", Some(1));
     assert_eq!(chooser.own_in_flight("a"), 1);
-    chooser.ended_at("a", Some(2), Some(true), NOW);
+    chooser.record_end_at_start("a", Some(2), Some(true), NOW);
     assert_eq!(chooser.own_in_flight("a"), 0);
 }
--- a/grebedeck-gateway/tests/targets.rs
+++ b/grebedeck-gateway/tests/targets.rs
@@ -386,7 +386,7 @@
 
         for gateway in 0..gateways {
             let mut list = TargetList::default();
-            let options = SubsetOptions { size: SIZE, elsewhere: 16 };
+            let options = SubsetOptions { size: SIZE, in_other_halls: 16 };
             let (process, hall) = (format!("gateway-{gateway}"), format!("hall-{}", gateway % 5));
             list.set_view(SubsetView { process, hall: hall.clone(), options });
             list.take_snapshot(1, listed.clone(), MS(0));
--- a/grebedeck-lab/src/cost/probes/routing.rs
+++ b/grebedeck-lab/src/cost/probes/routing.rs
@@ -9,7 +9,8 @@
 use grebedeck_net::encode;
 use grebedeck_routing::subset::{SubsetOptions, subset};
 use grebedeck_routing::{
-    Admission, AdmissionOptions, Chooser, ChooserOptions, Gate, GateOptions, Key, LoadReport, Start,
+    Admission, AdmissionOptions, Chooser, ChooserOptions, Gate, GateOptions, Key, LoadReport,
+    StartRequest,
 };
 
 use super::config::all_routes;
@@ -22,8 +23,8 @@
     let mut random = SeededSource::new(1);
 
     for route in allowed.iter() {
-        let report = LoadReport { in_flight: random.below(60) as u32, waiting: 0, places: 64 };
-        chooser.reported(&route.name, report, Duration::ZERO);
+        let report = LoadReport { in_flight: random.below(60) as u32, waiting: 0, slots: 64 };
+        chooser.record_report(&route.name, report, Duration::ZERO);
     }
 
     const ROUNDS: usize = 200;
@@ -36,7 +37,7 @@
 }
 
 /// The subset of an entry, as its settings have it.
-const SUBSET: SubsetOptions = SubsetOptions { size: 24, elsewhere: 12 };
+const SUBSET: SubsetOptions = SubsetOptions { size: 24, in_other_halls: 12 };
 
 /// One subset.
 pub fn subset_us(targets: usize) -> f64 {
@@ -57,7 +58,7 @@
         let mut chooser = Chooser::new("hall-0", ChooserOptions::default());
 
         for n in 0..targets {
-            chooser.reported(&format!("runner-{n:05}"), LoadReport::default(), Duration::ZERO);
+            chooser.record_report(&format!("runner-{n:05}"), LoadReport::default(), Duration::ZERO);
         }
 
         chooser
@@ -109,7 +110,7 @@
     let at = Duration::ZERO;
     let attempt = AttemptId { request: n, number: 0 };
     let key = Key { digest: n, issued_unix_ms: Some(9_000) };
-    let start = Start {
+    let start = StartRequest {
         attempt,
         incarnation: 1,
         sent_unix_ms: 10_000,
--- a/grebedeck-lab/src/routing.rs
+++ b/grebedeck-lab/src/routing.rs
@@ -253,11 +253,11 @@
             self.admissions[entry].leave(&organisation_name(request.organisation));
             let report = self.load_report(self.targets[at].load());
             let name = &self.routes[at].name;
-            self.choosers[entry].reported(name, report, Duration::from_micros(now));
+            self.choosers[entry].record_report(name, report, Duration::from_micros(now));
             return false;
         }
 
-        self.choosers[entry].sent(&self.routes[at].name);
+        self.choosers[entry].record_sent(&self.routes[at].name);
 
         if self.targets[at].busy < self.setup.places {
             self.begin(at, request, now);
@@ -289,7 +289,7 @@
 
             let chooser = &mut self.choosers[entry];
             let may_wait = tried.len() >= MAX_ATTEMPTS as usize
-                || !chooser.expects_free_place(&self.routes, &tried, at_time);
+                || !chooser.expects_free_slot(&self.routes, &tried, at_time);
 
             if may_wait || self.targets[at].busy < self.setup.places {
                 return at;
@@ -298,9 +298,9 @@
             let report = LoadReport {
                 in_flight: self.targets[at].load() as u32,
                 waiting: 0,
-                places: self.setup.places as u32,
+                slots: self.setup.places as u32,
             };
-            chooser.reported(&self.routes[at].name, report, at_time);
+            chooser.record_report(&self.routes[at].name, report, at_time);
         }
     }
 
@@ -337,12 +337,12 @@
         // The end of an answer carries the target's load, as it does between real processes.
         let report = self.load_report(self.targets[at].load());
         let (name, now) = (&self.routes[at].name, Duration::from_micros(now));
-        self.choosers[entry].ended(name, Some(true), now);
-        self.choosers[entry].reported(name, report, now);
+        self.choosers[entry].record_end(name, Some(true), now);
+        self.choosers[entry].record_report(name, report, now);
     }
 
     fn load_report(&self, load: usize) -> LoadReport {
-        LoadReport { in_flight: load as u32, waiting: 0, places: self.setup.places as u32 }
+        LoadReport { in_flight: load as u32, waiting: 0, slots: self.setup.places as u32 }
     }
 
     /// Sends everybody's loads to all entries; they arrive one lag later. `ours` has no use for
--- a/grebedeck-routing/benches/quarantine.rs
+++ b/grebedeck-routing/benches/quarantine.rs
@@ -21,7 +21,7 @@
     for crash in 0..CRASHES {
         let start = TargetStart::listed(&format!("t{crash}"), Some(1));
         let runs = (0..RUNS).map(|run| crash * RUNS + run);
-        quarantine.found_crashed(&start, runs, Duration::from_secs(crash as u64));
+        quarantine.record_crash(&start, runs, Duration::from_secs(crash as u64));
     }
 
     quarantine
--- a/grebedeck-routing/src/attempt.rs
+++ b/grebedeck-routing/src/attempt.rs
@@ -73,7 +73,7 @@
 
     /// Decides what follows an attempt's end. `may_retry` is asked, only where it matters, whether
     /// budget and deadline allow another attempt.
-    pub fn ended(&mut self, end: AttemptEnd, may_retry: impl FnOnce() -> bool) -> Next {
+    pub fn record_end(&mut self, end: AttemptEnd, may_retry: impl FnOnce() -> bool) -> Next {
         match end {
             AttemptEnd::NotSent => self.not_run(Reason::Unreachable, may_retry),
             AttemptEnd::Refused(reason) => self.not_run(reason, may_retry),
@@ -91,7 +91,7 @@
     }
 
     /// Ends the request where it is not sent, for a reason that its first attempt has as well as any other.
-    pub fn not_sent(&self, reason: Reason) -> Outcome {
+    pub fn outcome_if_unsent(&self, reason: Reason) -> Outcome {
         match (self.maybe_run, self.traits.keyed) {
             (true, _) => Outcome::Unknown(Reason::TargetFailed),
             // Its home was not asked, and may know of an earlier try.
@@ -138,7 +138,7 @@
 }
 
 /// Gets the wait before a retry, spread by a draw from `0.0..1.0`.
-pub fn retry_wait(number: u32, draw: f64) -> Duration {
+pub fn retry_backoff(number: u32, draw: f64) -> Duration {
     let base_ms = 5.0 * f64::from(1u32 << number.min(6));
 
     Duration::from_secs_f64(base_ms * (0.5 + draw) / 1000.0)
--- a/grebedeck-routing/src/caution.rs
+++ b/grebedeck-routing/src/caution.rs
@@ -16,20 +16,20 @@
 use crate::fingerprint::Fingerprint;
 
 /// How long a request is held back: several times as long as a group needs to form and to serve those that waited.
-pub const HELD_BACK: Duration = Duration::from_secs(30);
+pub const COOLDOWN: Duration = Duration::from_secs(30);
 /// Answered requests that are remembered: what is asked often is among them.
 const MAX_ANSWERED: usize = 4096;
 
 /// Requests that were answered lately.
 #[derive(Clone, Debug, Default)]
-pub struct Caution {
+pub struct CrashCooldown {
     answered: HashSet<Fingerprint>,
     order: VecDeque<Fingerprint>,
 }
 
-impl Caution {
+impl CrashCooldown {
     /// Notes that a request was answered.
-    pub fn answered(&mut self, request: Fingerprint) {
+    pub fn record_answer(&mut self, request: Fingerprint) {
         if !self.answered.insert(request) {
             return;
         }
@@ -44,23 +44,23 @@
     }
 
     /// Gets how much longer a request is held back.
-    pub fn held_back(
+    pub fn remaining(
         &self,
         request: Fingerprint,
         suspicion: Suspicion,
         now: Moment,
     ) -> Option<Duration> {
-        if suspicion.crashes == 0 || self.is_trusted(request) {
+        if suspicion.crashes == 0 || self.was_answered_recently(request) {
             return None;
         }
 
-        let left = (suspicion.newest + HELD_BACK).saturating_sub(now);
+        let left = (suspicion.newest + COOLDOWN).saturating_sub(now);
 
         (!left.is_zero()).then_some(left)
     }
 
     /// Tells whether a request was answered lately.
-    pub fn is_trusted(&self, request: Fingerprint) -> bool {
+    pub fn was_answered_recently(&self, request: Fingerprint) -> bool {
         self.answered.contains(&request)
     }
 }
--- a/grebedeck-routing/src/choice.rs
+++ b/grebedeck-routing/src/choice.rs
@@ -43,11 +43,11 @@
     /// one after the other makes a new request wait for those, and hardly for the ones that run.
     pub waiting_weight: f64,
     /// Load that another hall counts as, in places.
-    pub other_hall_places: f64,
+    pub other_hall_penalty_slots: f64,
     /// Age after which a report is no longer believed.
     pub report_lifetime: Duration,
     /// Slowdown from which a target is left out while enough others are well.
-    pub slow_from: f32,
+    pub slow_threshold: f32,
     /// Part of the targets that must look well; below it all are used.
     pub min_usable: f64,
     /// Part of all places that is kept for organisations with little in flight.
@@ -63,9 +63,9 @@
         ChooserOptions {
             draws: 3,
             waiting_weight: 0.0,
-            other_hall_places: 0.5,
+            other_hall_penalty_slots: 0.5,
             report_lifetime: Duration::from_secs(10),
-            slow_from: f32::INFINITY,
+            slow_threshold: f32::INFINITY,
             min_usable: 0.3,
             headroom: 0.03,
             leaving_lifetime: Duration::from_secs(5),
@@ -82,12 +82,13 @@
     /// Those of them that have not begun to run.
     pub waiting: u32,
     /// Places for requests.
-    pub places: u32,
+    #[serde(rename = "places")]
+    pub slots: u32,
 }
 
 /// Which start of a target something is about, as the target tells it; `None` where it does not. Two of them are
 /// compared only for being the same.
-pub type Birth = Option<u64>;
+pub type StartId = Option<u64>;
 
 /// What is known of a target's load.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -95,7 +96,7 @@
     /// Requests that it is expected to have.
     pub in_flight: f64,
     /// Places for requests.
-    pub places: f64,
+    pub slots: f64,
     /// Age of its own word on it, if there was one.
     pub report_age: Option<Duration>,
 }
@@ -103,7 +104,7 @@
 #[derive(Clone, Debug, Default)]
 struct View {
     /// The start that all else here is about.
-    birth: Birth,
+    birth: StartId,
     own_in_flight: u32,
     /// Places that the target has by the platform's list, for as long as it has not reported.
     listed_places: Option<u32>,
@@ -178,8 +179,11 @@
     }
 
     fn score(&self, target: &impl Candidate, now: Moment) -> f64 {
-        let distance =
-            if target.hall() == self.own_hall { 0.0 } else { self.options.other_hall_places };
+        let distance = if target.hall() == self.own_hall {
+            0.0
+        } else {
+            self.options.other_hall_penalty_slots
+        };
 
         let Some(view) = self.view(target.name()) else {
             return distance;
@@ -203,7 +207,7 @@
     }
 
     /// Tells whether, for all that is known, some target that was not tried has a free place.
-    pub fn expects_free_place<T: Candidate>(
+    pub fn expects_free_slot<T: Candidate>(
         &self,
         allowed: &[Arc<T>],
         tried: &[TargetName],
@@ -254,7 +258,7 @@
 
         let corrected = i64::from(report.in_flight) + view.since_report;
         let in_flight = corrected.max(i64::from(view.own_in_flight)) as f64;
-        Some((in_flight, f64::from(report.places.max(1))))
+        Some((in_flight, f64::from(report.slots.max(1))))
     }
 
     /// Gets the estimated load, or what this entry itself has in flight where nothing was heard.
@@ -277,13 +281,13 @@
     /// Gets what is known of a target's load.
     pub fn load_view(&self, target: &str, now: Moment) -> LoadView {
         let Some(view) = self.view(target) else {
-            return LoadView { in_flight: 0.0, places: 1.0, report_age: None };
+            return LoadView { in_flight: 0.0, slots: 1.0, report_age: None };
         };
         let (in_flight, places) = self.load_or_own(view, now);
 
         LoadView {
             in_flight,
-            places,
+            slots: places,
             report_age: view.report.map(|(at, _)| now.saturating_sub(at)),
         }
     }
@@ -308,7 +312,7 @@
 
     /// Notes how many places a start of a target has by the platform's list. What was known of an earlier start is
     /// forgotten: that it was full, slow or failing says nothing of the next one, and its requests have ended.
-    pub fn listed(&mut self, target: &str, birth: Birth, places: u32) {
+    pub fn record_listing(&mut self, target: &str, birth: StartId, places: u32) {
         let view = self.views.entry(target.to_string()).or_default();
 
         if view.birth != birth {
@@ -319,7 +323,7 @@
     }
 
     /// Gets the start that a target's view is about.
-    pub fn birth(&self, target: &str) -> Birth {
+    pub fn start_id(&self, target: &str) -> StartId {
         self.view(target).and_then(|view| view.birth)
     }
 
@@ -338,39 +342,39 @@
     }
 
     /// Notes that a request was sent to the target.
-    pub fn sent(&mut self, target: &str) {
+    pub fn record_sent(&mut self, target: &str) {
         let view = self.views.entry(target.to_string()).or_default();
 
         view.own_in_flight += 1;
         view.since_report += 1;
         view.sent_since_report += 1;
-        view.health.sent();
+        view.health.record_sent();
     }
 
-    /// Notes that a request ended that was sent to a start of the target, as [`Chooser::ended`] does. What it showed
+    /// Notes that a request ended that was sent to a start of the target, as [`Chooser::record_end`] does. What it showed
     /// of an earlier start is dropped.
-    pub fn ended_at(
+    pub fn record_end_at_start(
         &mut self,
         target: &str,
-        birth: Birth,
+        birth: StartId,
         success: Option<bool>,
         now: Moment,
     ) -> bool {
-        self.birth(target) == birth && self.ended(target, success, now)
+        self.start_id(target) == birth && self.record_end(target, success, now)
     }
 
     /// Notes that a request was sent to a start of the target; one to an earlier start is no load of the next.
-    pub fn sent_at(&mut self, target: &str, birth: Birth) {
+    pub fn record_sent_to_start(&mut self, target: &str, birth: StartId) {
         let view = self.views.entry(target.to_string());
 
         if view.or_insert_with(|| View { birth, ..View::default() }).birth == birth {
-            self.sent(target);
+            self.record_sent(target);
         }
     }
 
     /// Notes that a request ended. `success` is `None` where it says nothing of the target's
     /// health, such as a refusal for lack of room. Tells whether the target was put aside.
-    pub fn ended(&mut self, target: &str, success: Option<bool>, now: Moment) -> bool {
+    pub fn record_end(&mut self, target: &str, success: Option<bool>, now: Moment) -> bool {
         let Some(view) = self.views.get_mut(target) else {
             return false;
         };
@@ -379,16 +383,16 @@
         view.since_report -= 1;
 
         match success {
-            Some(true) => view.health.succeeded(&self.options.health),
-            Some(false) => return view.health.failed(now, &self.options.health),
-            None => view.health.neutral(),
+            Some(true) => view.health.record_success(&self.options.health),
+            Some(false) => return view.health.record_failure(now, &self.options.health),
+            None => view.health.record_neutral(),
         }
 
         false
     }
 
     /// Takes in a load report.
-    pub fn reported(&mut self, target: &str, report: LoadReport, now: Moment) {
+    pub fn record_report(&mut self, target: &str, report: LoadReport, now: Moment) {
         let view = self.views.entry(target.to_string()).or_default();
 
         view.report = Some((now, report));
@@ -427,7 +431,7 @@
     }
 
     fn is_slow(&self, target: &str, now: Moment) -> bool {
-        self.slowdown(target, now) >= self.options.slow_from
+        self.slowdown(target, now) >= self.options.slow_threshold
     }
 
     /// Gets those of some targets that are not slow, or all of them where too few would be left.
--- a/grebedeck-routing/src/crashes.rs
+++ b/grebedeck-routing/src/crashes.rs
@@ -14,15 +14,15 @@
 use grebedeck_core::{DigestWriter, Moment};
 use serde::{Deserialize, Serialize};
 
-use crate::choice::Birth;
+use crate::choice::StartId;
 use crate::fingerprint::Fingerprint;
 use crate::report::{ClearedReport, CrashReport};
 
 /// Crashes within this time of each other have one cause: a loss of power takes no longer, and a request that is sent
 /// on after a crash needs some of it to crash the next target.
-pub const SAME_MOMENT: Duration = Duration::from_millis(100);
+pub const CORRELATION_WINDOW: Duration = Duration::from_millis(100);
 /// How long a crash counts: callers that ask again after longer than that are as good as new ones.
-pub const CRASH_MEMORY: Duration = Duration::from_secs(600);
+pub const CRASH_RETENTION: Duration = Duration::from_secs(600);
 /// Crashes after which a request is not sent any more. Two are met by chance: by whoever is sent on once beside a request
 /// that crashes targets.
 pub const CRASH_LIMIT: usize = 3;
@@ -41,14 +41,14 @@
     /// The target.
     pub target: String,
     /// The time of its start, where it tells it.
-    pub born: Birth,
+    pub born: StartId,
     /// Whether it is the start after that one: lists lag, so a target may be used before its new start is listed.
     pub is_next: bool,
 }
 
 impl TargetStart {
     /// Makes the start that is listed for a target.
-    pub fn listed(target: &str, born: Birth) -> Self {
+    pub fn listed(target: &str, born: StartId) -> Self {
         TargetStart { target: target.to_string(), born, is_next: false }
     }
 }
@@ -125,7 +125,7 @@
     }
 
     /// Tells whether a request ran under a crash and was not answered since.
-    pub fn suspects(&self, request: Fingerprint) -> bool {
+    pub fn is_suspected(&self, request: Fingerprint) -> bool {
         self.suspects.crashes.contains_key(&request)
     }
 
@@ -141,7 +141,7 @@
 
     /// Notes requests that ran on a start when it crashed; tells whether that is news. The earliest time that is told
     /// of a crash is the nearest to it.
-    pub fn add(
+    pub fn record(
         &mut self,
         start: &TargetStart,
         at: Moment,
@@ -169,7 +169,7 @@
     }
 
     /// Notes that a request was answered: no crash until then was its.
-    pub fn clear(&mut self, request: Fingerprint, at: Moment) {
+    pub fn clear_request(&mut self, request: Fingerprint, at: Moment) {
         for crash in self.crashes.values_mut().filter(|crash| crash.at <= at) {
             if crash.runs.remove(&request) {
                 self.suspects.remove(request);
@@ -197,7 +197,7 @@
         request: Fingerprint,
         is_deadly: impl Fn(Fingerprint) -> bool,
     ) -> Suspicion {
-        if !self.suspects(request) {
+        if !self.is_suspected(request) {
             return Suspicion::default();
         }
 
@@ -208,7 +208,7 @@
         let mut counted: Vec<(&str, Moment)> = Vec::new();
 
         for (start, crash) in open.iter().filter(|(_, crash)| crash.runs.contains(&request)) {
-            let is_same_moment = |at: Moment| at.abs_diff(crash.at) <= SAME_MOMENT;
+            let is_same_moment = |at: Moment| at.abs_diff(crash.at) <= CORRELATION_WINDOW;
             let has_other_cause = open.iter().any(|(other, other_crash)| {
                 other.target != start.target
                     && is_same_moment(other_crash.at)
@@ -229,13 +229,13 @@
     }
 
     /// Gets the requests that ran under [`CRASH_LIMIT`] crashes or more.
-    pub fn often_suspected(&self) -> impl Iterator<Item = Fingerprint> {
+    pub fn repeat_suspects(&self) -> impl Iterator<Item = Fingerprint> {
         self.suspects.often.iter().copied()
     }
 
     /// Forgets what was long ago.
-    pub fn forget_old(&mut self, now: Moment) {
-        let is_old = |at: Moment| at + CRASH_MEMORY < now;
+    pub fn evict_expired(&mut self, now: Moment) {
+        let is_old = |at: Moment| at + CRASH_RETENTION < now;
         let old: Vec<TargetStart> =
             self.crashes.iter().filter(|(_, c)| is_old(c.at)).map(|(s, _)| s.clone()).collect();
 
@@ -244,9 +244,9 @@
     }
 
     /// Gets all crashes and answered requests, the newest first.
-    pub fn tell(&self, now: Moment) -> (Vec<CrashReport>, Vec<ClearedReport>) {
+    pub fn snapshot(&self, now: Moment) -> (Vec<CrashReport>, Vec<ClearedReport>) {
         let mut crashes: Vec<CrashReport> =
-            self.crashes.keys().filter_map(|start| self.tell_crash(start, now)).collect();
+            self.crashes.keys().filter_map(|start| self.crash_report(start, now)).collect();
         crashes.sort_by_key(|crash| crash.age_ms);
         let cleared = self
             .cleared
@@ -257,7 +257,7 @@
     }
 
     /// Gets one crash as it is told.
-    pub fn tell_crash(&self, start: &TargetStart, now: Moment) -> Option<CrashReport> {
+    pub fn crash_report(&self, start: &TargetStart, now: Moment) -> Option<CrashReport> {
         let crash = self.crashes.get(start)?;
         let runs = crash.runs.iter().copied().collect();
 
--- a/grebedeck-routing/src/gate.rs
+++ b/grebedeck-routing/src/gate.rs
@@ -15,7 +15,7 @@
 #[derive(Clone, Debug)]
 pub struct GateOptions {
     /// Requests that the target runs at the same time; more of them wait in it.
-    pub places: usize,
+    pub slots: usize,
     /// Most requests in flight on the target, with those that wait.
     pub max_in_flight: usize,
     /// How long a used key is remembered.
@@ -31,7 +31,7 @@
 impl Default for GateOptions {
     fn default() -> Self {
         GateOptions {
-            places: 32,
+            slots: 32,
             max_in_flight: 64,
             key_memory: Duration::from_secs(24 * 3600),
             max_keys: 200_000,
@@ -43,7 +43,7 @@
 
 /// An attempt that asks to be run.
 #[derive(Clone, Debug)]
-pub struct Start {
+pub struct StartRequest {
     /// The attempt.
     pub attempt: AttemptId,
     /// The incarnation that the entry meant.
@@ -130,8 +130,8 @@
     }
 
     /// Gets how many requests the target runs at the same time.
-    pub fn places(&self) -> usize {
-        self.options.places
+    pub fn slots(&self) -> usize {
+        self.options.slots
     }
 
     /// Gets the number of remembered keys.
@@ -150,7 +150,7 @@
     }
 
     /// Decides on an attempt.
-    pub fn admit(&mut self, start: &Start, now: Moment, now_unix_ms: UnixMs) -> Verdict {
+    pub fn admit(&mut self, start: &StartRequest, now: Moment, now_unix_ms: UnixMs) -> Verdict {
         self.forget(now);
 
         if start.incarnation != self.incarnation {
@@ -181,7 +181,7 @@
     ///
     /// A copy can wait in a buffer for as long as this process is paused. An attempt is struck out
     /// after it was sent, so within half of the memory's time every strike is still known.
-    fn is_beyond_memory(&self, start: &Start, now_unix_ms: UnixMs) -> bool {
+    fn is_beyond_memory(&self, start: &StartRequest, now_unix_ms: UnixMs) -> bool {
         let half = (self.options.attempt_memory / 2).as_millis() as UnixMs;
 
         now_unix_ms > start.sent_unix_ms + half
@@ -213,7 +213,7 @@
         }
     }
 
-    fn check_room(&self, start: &Start, now: Moment) -> Option<Reason> {
+    fn check_room(&self, start: &StartRequest, now: Moment) -> Option<Reason> {
         if self.draining {
             return Some(Reason::Draining);
         }
@@ -225,7 +225,7 @@
         let keys_full = start.key.is_some() && self.keys.len() >= self.options.max_keys;
 
         let options = &self.options;
-        let room = if start.may_wait { options.max_in_flight } else { options.places };
+        let room = if start.may_wait { options.max_in_flight } else { options.slots };
 
         if self.in_flight >= room || keys_full {
             return Some(Reason::TargetBusy);
@@ -234,7 +234,7 @@
         None
     }
 
-    fn begin(&mut self, start: &Start, now: Moment) {
+    fn begin(&mut self, start: &StartRequest, now: Moment) {
         let digest = start.key.map(|k| k.digest);
 
         if let Some(digest) = digest {
--- a/grebedeck-routing/src/health.rs
+++ b/grebedeck-routing/src/health.rs
@@ -62,19 +62,19 @@
     }
 
     /// Notes that a request was sent.
-    pub fn sent(&mut self) {
+    pub fn record_sent(&mut self) {
         if self.ejected_until.is_some() {
             self.trial_in_flight = true;
         }
     }
 
     /// Notes that a request ended without a verdict on the target's health.
-    pub fn neutral(&mut self) {
+    pub fn record_neutral(&mut self) {
         self.trial_in_flight = false;
     }
 
     /// Notes a success.
-    pub fn succeeded(&mut self, options: &HealthOptions) {
+    pub fn record_success(&mut self, options: &HealthOptions) {
         self.failures_in_row = 0;
         self.trial_in_flight = false;
         self.ejected_until = None;
@@ -91,7 +91,7 @@
     }
 
     /// Notes a failure; tells whether the target was put aside by it.
-    pub fn failed(&mut self, now: Moment, options: &HealthOptions) -> bool {
+    pub fn record_failure(&mut self, now: Moment, options: &HealthOptions) -> bool {
         self.failures_in_row += 1;
         self.successes_since = 0;
 
--- a/grebedeck-routing/src/lib.rs
+++ b/grebedeck-routing/src/lib.rs
@@ -22,11 +22,11 @@
 
 pub use admission::{Admission, AdmissionOptions};
 pub use attempt::{AttemptEnd, AttemptTracker, Next, RequestTraits};
-pub use caution::Caution;
-pub use choice::{Birth, Candidate, Chooser, ChooserOptions, LoadReport, LoadView};
+pub use caution::CrashCooldown;
+pub use choice::{Candidate, Chooser, ChooserOptions, LoadReport, LoadView, StartId};
 pub use crashes::{CrashLog, TargetStart};
 pub use fingerprint::{Fingerprint, Identity};
-pub use gate::{Gate, GateOptions, Start, StrikeAnswer, Verdict};
+pub use gate::{Gate, GateOptions, StartRequest, StrikeAnswer, Verdict};
 pub use health::{Health, HealthOptions};
 pub use home::{AllowedSince, find_home};
 pub use key::{Key, KeyDigest};
--- a/grebedeck-routing/src/quarantine.rs
+++ b/grebedeck-routing/src/quarantine.rs
@@ -19,26 +19,26 @@
 
 use grebedeck_core::{DigestWriter, Moment};
 
-use crate::crashes::{CRASH_LIMIT, CrashLog, SAME_MOMENT, Suspicion, TargetStart, age_ms};
+use crate::crashes::{CORRELATION_WINDOW, CRASH_LIMIT, CrashLog, Suspicion, TargetStart, age_ms};
 use crate::fingerprint::Fingerprint;
 use crate::report::{ClearedReport, CrashReport, QuarantinedReport, Report};
 
 /// How long after a request's third crash it is decided on, so that other crashes of the same moment are known,
 /// also those that other processes tell of.
-pub const SETTLE: Duration = SAME_MOMENT;
+pub const DECISION_DELAY: Duration = CORRELATION_WINDOW;
 /// Longest time in which it is found out whether a target crashed.
-pub const CHECK_LIMIT: Duration = Duration::from_millis(500);
+pub const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
 /// How long after a broken attempt the target's next start shows that it crashed: lists lag by less.
 const DOUBT: Duration = Duration::from_secs(10);
 /// Time until the first trial: long enough that a deadly request costs its targets little.
-pub const FIRST_TRIAL: Duration = Duration::from_secs(60);
+pub const FIRST_TRIAL_DELAY: Duration = Duration::from_secs(60);
 /// Time from the first trial to the second.
-pub const SECOND_TRIAL: Duration = Duration::from_secs(600);
+pub const SECOND_TRIAL_DELAY: Duration = Duration::from_secs(600);
 /// Trials of a request; the operators' bound on sends is one more, for trials by two processes at once.
 const MAX_TRIALS: u32 = 2;
 /// How long a request stays in quarantine that nobody asks for, and the time that callers of one are told which is not
 /// tried again.
-pub const MEMORY: Duration = Duration::from_secs(24 * 3600);
+pub const RETENTION: Duration = Duration::from_secs(24 * 3600);
 /// Most requests in quarantine. Beyond it the one that nobody has asked for the longest comes out.
 const MAX_QUARANTINED: usize = 1024;
 /// Most targets that are looked at at a time, or were lately.
@@ -48,7 +48,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Clearance {
     /// It may.
-    Free,
+    Allow,
     /// It may, as a trial, if [`Quarantine::take_trial`] agrees.
     Trial,
     /// It is not known yet, and will be after this time.
@@ -59,7 +59,7 @@
 
 /// What became of a look at a target on which an attempt broke.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Finding {
+pub enum ProbeResult {
     /// It takes no connections: it has crashed.
     Crashed,
     /// It takes connections and keeps them.
@@ -70,18 +70,18 @@
 
 /// A change that is to outlast this process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Lasting {
+pub enum StoredChange {
     /// A request is in quarantine, with so many trials since.
     Quarantined(Fingerprint, u32),
     /// It is no longer.
     Released(Fingerprint),
 }
 
-impl Lasting {
+impl StoredChange {
     /// Gets the request that it is about.
     pub fn request(self) -> Fingerprint {
         match self {
-            Lasting::Quarantined(request, _) | Lasting::Released(request) => request,
+            StoredChange::Quarantined(request, _) | StoredChange::Released(request) => request,
         }
     }
 }
@@ -107,8 +107,8 @@
 impl Held {
     fn next_trial(&self) -> Option<Moment> {
         match self.trials {
-            0 => Some(self.tried_at + FIRST_TRIAL),
-            trials if trials < MAX_TRIALS => Some(self.tried_at + SECOND_TRIAL),
+            0 => Some(self.tried_at + FIRST_TRIAL_DELAY),
+            trials if trials < MAX_TRIALS => Some(self.tried_at + SECOND_TRIAL_DELAY),
             _ => None,
         }
     }
@@ -123,7 +123,7 @@
     /// Crashes that this process saw itself.
     own: BTreeSet<TargetStart>,
     news: Report,
-    lasting: Vec<Lasting>,
+    lasting: Vec<StoredChange>,
 }
 
 impl Quarantine {
@@ -133,13 +133,13 @@
     }
 
     /// Tells whether a request is in quarantine.
-    pub fn holds(&self, request: Fingerprint) -> bool {
+    pub fn contains(&self, request: Fingerprint) -> bool {
         self.held.contains_key(&request)
     }
 
     /// Notes that an attempt that was sent to a start at `sent_at` broke there; tells whether the target is to be looked
     /// at. What a list that lags tells of is the start that crashed before.
-    pub fn broke(
+    pub fn record_broken_attempt(
         &mut self,
         listed: &TargetStart,
         request: Fingerprint,
@@ -177,9 +177,9 @@
         is_to_look.then_some(start)
     }
 
-    /// Notes what a look at a target has shown; tells whether a request has to be decided on after [`SETTLE`].
-    pub fn checked(&mut self, start: &TargetStart, finding: Finding, now: Moment) -> bool {
-        if finding != Finding::Crashed {
+    /// Notes what a look at a target has shown; tells whether a request has to be decided on after [`DECISION_DELAY`].
+    pub fn record_probe(&mut self, start: &TargetStart, finding: ProbeResult, now: Moment) -> bool {
+        if finding != ProbeResult::Crashed {
             if let Some(check) = self.checks.get_mut(start) {
                 check.is_open = false;
             }
@@ -191,7 +191,7 @@
     }
 
     /// Notes that a target has started again, or is gone: attempts that broke there lately broke by its end.
-    pub fn ended(&mut self, target: &str, now: Moment) -> bool {
+    pub fn record_restart(&mut self, target: &str, now: Moment) -> bool {
         let is_of = |start: &&TargetStart| start.target == target;
         let starts: Vec<TargetStart> = self.checks.keys().filter(is_of).cloned().collect();
 
@@ -205,8 +205,8 @@
     }
 
     /// Notes a target that was found crashed, with the requests that are known to have run there; tells whether a
-    /// request has to be decided on after [`SETTLE`].
-    pub fn found_crashed(
+    /// request has to be decided on after [`DECISION_DELAY`].
+    pub fn record_crash(
         &mut self,
         start: &TargetStart,
         runs: impl IntoIterator<Item = Fingerprint>,
@@ -216,7 +216,7 @@
     }
 
     /// Tells whether some start of a target crashed so lately that it may still be down.
-    pub fn crashed_lately(&self, target: &str, now: Moment) -> bool {
+    pub fn crashed_recently(&self, target: &str, now: Moment) -> bool {
         self.log.crashed_since(target, now.saturating_sub(DOUBT))
     }
 
@@ -235,13 +235,13 @@
         runs: impl IntoIterator<Item = Fingerprint>,
         now: Moment,
     ) -> bool {
-        if !self.log.add(start, at, runs) {
+        if !self.log.record(start, at, runs) {
             return false;
         }
 
         self.own.insert(start.clone());
 
-        if let Some(crash) = self.log.tell_crash(start, now) {
+        if let Some(crash) = self.log.crash_report(start, now) {
             let told = |other: &CrashReport| other.start != *start;
             self.news.crashes.retain(told);
             self.news.crashes.push(crash);
@@ -251,7 +251,7 @@
     }
 
     /// Notes that a request was answered, so that no crash was its; tells whether it had been in quarantine.
-    pub fn answered(&mut self, request: Fingerprint, now: Moment) -> bool {
+    pub fn record_answer(&mut self, request: Fingerprint, now: Moment) -> bool {
         for check in self.checks.values_mut() {
             check.runs.remove(&request);
         }
@@ -259,15 +259,15 @@
         let was_held = self.held.remove(&request).is_some();
 
         // Nearly all answers are to requests that nothing speaks against, and leave nothing behind.
-        if !was_held && !self.log.suspects(request) {
+        if !was_held && !self.log.is_suspected(request) {
             return false;
         }
 
-        self.log.clear(request, now);
+        self.log.clear_request(request, now);
         self.news.cleared.push(ClearedReport { request, age_ms: 0 });
 
         if was_held {
-            self.lasting.push(Lasting::Released(request));
+            self.lasting.push(StoredChange::Released(request));
         }
 
         was_held
@@ -281,21 +281,21 @@
             return match held.next_trial() {
                 Some(at) if at <= now => Clearance::Trial,
                 Some(at) => Clearance::Refuse(at - now),
-                None => Clearance::Refuse(MEMORY),
+                None => Clearance::Refuse(RETENTION),
             };
         }
 
         let suspicion = self.suspicion(request);
 
         if suspicion.crashes >= CRASH_LIMIT {
-            return Clearance::Wait((suspicion.newest + SETTLE).saturating_sub(now));
+            return Clearance::Wait((suspicion.newest + DECISION_DELAY).saturating_sub(now));
         }
 
         match self.open_checks(request, now) {
             Some((count, until)) if suspicion.crashes + count >= CRASH_LIMIT => {
                 Clearance::Wait(until - now)
             }
-            _ => Clearance::Free,
+            _ => Clearance::Allow,
         }
     }
 
@@ -338,22 +338,23 @@
 
     /// Gets after which time some request has to be decided on.
     pub fn next_decision(&self, now: Moment) -> Option<Duration> {
-        let open = self.candidates().into_iter().map(|(_, suspicion)| suspicion.newest + SETTLE);
+        let open =
+            self.candidates().into_iter().map(|(_, suspicion)| suspicion.newest + DECISION_DELAY);
 
         open.min().map(|at| at.saturating_sub(now))
     }
 
     /// Takes in what another process tells; gives requests that are in quarantine since.
-    pub fn take(&mut self, report: &Report, now: Moment) -> Vec<Fingerprint> {
+    pub fn apply_report(&mut self, report: &Report, now: Moment) -> Vec<Fingerprint> {
         let at = |age_ms: u64| now.saturating_sub(Duration::from_millis(age_ms));
 
         for told in &report.crashes {
-            self.log.add(&told.start, at(told.age_ms), told.runs.iter().copied());
+            self.log.record(&told.start, at(told.age_ms), told.runs.iter().copied());
         }
 
         for told in &report.cleared {
             let cleared_at = at(told.age_ms);
-            self.log.clear(told.request, cleared_at);
+            self.log.clear_request(told.request, cleared_at);
 
             if self.held.get(&told.request).is_some_and(|held| held.since <= cleared_at) {
                 self.held.remove(&told.request);
@@ -379,23 +380,23 @@
     }
 
     /// Tells whether there is something to tell others, or to keep for later processes.
-    pub fn has_news(&self) -> bool {
+    pub fn has_updates(&self) -> bool {
         !self.news.is_empty() || !self.lasting.is_empty()
     }
 
     /// Gets the news of this process since this was asked last.
-    pub fn take_news(&mut self) -> Report {
+    pub fn take_updates(&mut self) -> Report {
         std::mem::take(&mut self.news)
     }
 
     /// Gets the changes of this process that are to outlast it.
-    pub fn take_lasting(&mut self) -> Vec<Lasting> {
+    pub fn take_stored_changes(&mut self) -> Vec<StoredChange> {
         std::mem::take(&mut self.lasting)
     }
 
     /// Gets all that is known, as it is told to a process that knows something else.
-    pub fn tell(&self, now: Moment) -> Report {
-        let (crashes, cleared) = self.log.tell(now);
+    pub fn snapshot(&self, now: Moment) -> Report {
+        let (crashes, cleared) = self.log.snapshot(now);
         let quarantined = self.held.iter().map(|(request, held)| report(*request, held, now));
 
         Report { crashes, cleared, quarantined: quarantined.collect() }
@@ -418,21 +419,21 @@
     }
 
     /// Forgets what was long ago.
-    pub fn forget_old(&mut self, now: Moment) {
-        self.log.forget_old(now);
+    pub fn evict_expired(&mut self, now: Moment) {
+        self.log.evict_expired(now);
         self.checks.retain(|_, check| check.at + DOUBT > now);
         let log = &self.log;
         self.own.retain(|start| log.crashed_at(start).is_some());
         let old: Vec<Fingerprint> = self
             .held
             .iter()
-            .filter(|(_, held)| held.asked_at + MEMORY < now)
+            .filter(|(_, held)| held.asked_at + RETENTION < now)
             .map(|(request, _)| *request)
             .collect();
 
         for request in old {
             self.held.remove(&request);
-            self.lasting.push(Lasting::Released(request));
+            self.lasting.push(StoredChange::Released(request));
         }
     }
 
@@ -444,7 +445,7 @@
     }
 
     /// Gets the requests in quarantine with their trials.
-    pub fn held(&self) -> impl Iterator<Item = (Fingerprint, u32)> {
+    pub fn entries(&self) -> impl Iterator<Item = (Fingerprint, u32)> {
         self.held.iter().map(|(request, held)| (*request, held.trials))
     }
 
@@ -454,31 +455,31 @@
     }
 
     /// Gets how much longer a target may be looked at on which a request broke.
-    pub fn check_left(&self, request: Fingerprint, now: Moment) -> Option<Duration> {
+    pub fn probe_time_left(&self, request: Fingerprint, now: Moment) -> Option<Duration> {
         self.open_checks(request, now).map(|(_, until)| until.saturating_sub(now))
     }
 
     /// Gets how many targets are looked at on which a request broke, and until when that may take.
     fn open_checks(&self, request: Fingerprint, now: Moment) -> Option<(usize, Moment)> {
         let is_open = |check: &&Check| {
-            check.is_open && check.at + CHECK_LIMIT > now && check.runs.contains(&request)
+            check.is_open && check.at + PROBE_TIMEOUT > now && check.runs.contains(&request)
         };
         let open: Vec<&Check> = self.checks.values().filter(is_open).collect();
-        let until = open.iter().map(|check| check.at + CHECK_LIMIT).max()?;
+        let until = open.iter().map(|check| check.at + PROBE_TIMEOUT).max()?;
 
         Some((open.len(), until))
     }
 
     fn candidates(&self) -> Vec<(Fingerprint, Suspicion)> {
-        let suspects = self.log.often_suspected();
-        let judged = suspects.filter(|r| !self.holds(*r)).map(|r| (r, self.suspicion(r)));
+        let suspects = self.log.repeat_suspects();
+        let judged = suspects.filter(|r| !self.contains(*r)).map(|r| (r, self.suspicion(r)));
 
         judged.filter(|(_, suspicion)| suspicion.crashes >= CRASH_LIMIT).collect()
     }
 
     fn most_suspected(&self, now: Moment) -> Option<(Fingerprint, Suspicion)> {
         let is_settled =
-            |(_, suspicion): &(Fingerprint, Suspicion)| suspicion.newest + SETTLE <= now;
+            |(_, suspicion): &(Fingerprint, Suspicion)| suspicion.newest + DECISION_DELAY <= now;
         let settled = self.candidates().into_iter().filter(is_settled);
 
         settled.max_by_key(|(request, suspicion)| (suspicion.crashes, *request))
@@ -491,7 +492,7 @@
 
     fn tell_held(&mut self, request: Fingerprint, held: &Held, now: Moment) {
         self.news.quarantined.push(report(request, held, now));
-        self.lasting.push(Lasting::Quarantined(request, held.trials));
+        self.lasting.push(StoredChange::Quarantined(request, held.trials));
     }
 
     fn take_held(&mut self, told: &QuarantinedReport, since: Moment, tried_at: Moment) -> bool {
@@ -523,7 +524,7 @@
 
         if let Some(request) = oldest.map(|(request, _)| *request) {
             self.held.remove(&request);
-            self.lasting.push(Lasting::Released(request));
+            self.lasting.push(StoredChange::Released(request));
         }
     }
 }
--- a/grebedeck-routing/src/retry.rs
+++ b/grebedeck-routing/src/retry.rs
@@ -4,14 +4,14 @@
 #[derive(Clone, Debug)]
 pub struct RetryOptions {
     /// Retries that each first attempt earns.
-    pub per_request: f64,
+    pub tokens_per_request: f64,
     /// Most retries that can be saved up.
-    pub max_saved: f64,
+    pub max_tokens: f64,
 }
 
 impl Default for RetryOptions {
     fn default() -> Self {
-        RetryOptions { per_request: 0.1, max_saved: 20.0 }
+        RetryOptions { tokens_per_request: 0.1, max_tokens: 20.0 }
     }
 }
 
@@ -25,18 +25,18 @@
 impl RetryBudget {
     /// Makes a full budget.
     pub fn new(options: RetryOptions) -> Self {
-        let saved = options.max_saved;
+        let saved = options.max_tokens;
 
         RetryBudget { options, saved }
     }
 
     /// Notes a first attempt.
-    pub fn earn(&mut self) {
-        self.saved = (self.saved + self.options.per_request).min(self.options.max_saved);
+    pub fn deposit(&mut self) {
+        self.saved = (self.saved + self.options.tokens_per_request).min(self.options.max_tokens);
     }
 
     /// Takes one retry where the budget has one left.
-    pub fn take(&mut self) -> bool {
+    pub fn try_withdraw(&mut self) -> bool {
         if self.saved < 1.0 {
             return false;
         }
--- a/grebedeck-routing/src/subset.rs
+++ b/grebedeck-routing/src/subset.rs
@@ -17,7 +17,7 @@
     /// Most targets in it.
     pub size: usize,
     /// How many of them stand in other halls, so that the loss of the own hall leaves some that are known.
-    pub elsewhere: usize,
+    pub in_other_halls: usize,
 }
 
 /// Gets the subset of the allowed targets that the process of this name deals with. Where either side has too few
@@ -28,7 +28,7 @@
     own_hall: &str,
     options: SubsetOptions,
 ) -> Vec<Arc<T>> {
-    let SubsetOptions { size, elsewhere } = options;
+    let SubsetOptions { size, in_other_halls: elsewhere } = options;
 
     if allowed.len() <= size {
         return allowed.to_vec();
--- a/grebedeck-routing/tests/decisions.rs
+++ b/grebedeck-routing/tests/decisions.rs
@@ -36,13 +36,13 @@
 fn only_what_certainly_did_not_run_is_retried_if_it_may_not_be_repeated() {
     let once = || AttemptTracker::new(traits(false, false));
 
-    assert_eq!(once().ended(AttemptEnd::NotSent, || true), Next::Retry);
-    assert_eq!(once().ended(AttemptEnd::Refused(Reason::TargetBusy), || true), Next::Retry);
-    assert_eq!(once().ended(AttemptEnd::Struck, || true), Next::Retry);
-    assert_eq!(once().ended(AttemptEnd::Lost, || true), Next::Strike);
+    assert_eq!(once().record_end(AttemptEnd::NotSent, || true), Next::Retry);
+    assert_eq!(once().record_end(AttemptEnd::Refused(Reason::TargetBusy), || true), Next::Retry);
+    assert_eq!(once().record_end(AttemptEnd::Struck, || true), Next::Retry);
+    assert_eq!(once().record_end(AttemptEnd::Lost, || true), Next::Strike);
 
     for end in [AttemptEnd::NotStruck, AttemptEnd::TargetFailed] {
-        let next = once().ended(end, || true);
+        let next = once().record_end(end, || true);
         assert!(matches!(next, Next::Answer(Outcome::Unknown(_))), "{next:?}");
     }
 }
@@ -51,8 +51,8 @@
 fn not_run_is_never_told_after_an_attempt_that_may_have_run() {
     let mut tracker = AttemptTracker::new(traits(true, false));
 
-    assert_eq!(tracker.ended(AttemptEnd::Lost, || true), Next::Retry);
-    let next = tracker.ended(AttemptEnd::NotSent, || false);
+    assert_eq!(tracker.record_end(AttemptEnd::Lost, || true), Next::Retry);
+    let next = tracker.record_end(AttemptEnd::NotSent, || false);
 
     assert_eq!(next, Next::Answer(Outcome::Unknown(Reason::Unreachable)));
 }
@@ -62,12 +62,12 @@
     for end in
         [AttemptEnd::NotSent, AttemptEnd::Struck, AttemptEnd::Refused(Reason::StaleIncarnation)]
     {
-        let next = AttemptTracker::new(traits(false, true)).ended(end, || false);
+        let next = AttemptTracker::new(traits(false, true)).record_end(end, || false);
         assert!(matches!(next, Next::Answer(Outcome::Unknown(_))), "{next:?}");
     }
 
     let busy = AttemptEnd::Refused(Reason::TargetBusy);
-    let next = AttemptTracker::new(traits(false, true)).ended(busy, || false);
+    let next = AttemptTracker::new(traits(false, true)).record_end(busy, || false);
     assert_eq!(next, Next::Answer(Outcome::NotRun(Reason::TargetBusy)));
 }
 
@@ -77,7 +77,7 @@
     let mut asked = 0;
 
     for _ in 0..10 {
-        tracker.ended(AttemptEnd::NotSent, || {
+        tracker.record_end(AttemptEnd::NotSent, || {
             asked += 1;
             true
         });
@@ -91,8 +91,8 @@
     let mut budget = RetryBudget::new(RetryOptions::default());
     let taken = (0..10_000)
         .filter(|_| {
-            budget.earn();
-            budget.take()
+            budget.deposit();
+            budget.try_withdraw()
         })
         .count();
 
@@ -106,22 +106,22 @@
     let mut health = Health::default();
     let at = Duration::from_secs;
 
-    assert!(!health.failed(at(0), &options));
-    assert!(health.failed(at(0), &options));
+    assert!(!health.record_failure(at(0), &options));
+    assert!(health.record_failure(at(0), &options));
     assert!(!health.is_usable(at(0)));
     assert!(health.is_usable(at(1)));
 
-    health.sent();
+    health.record_sent();
     assert!(!health.is_usable(at(1)), "one trial at a time");
-    assert!(health.failed(at(1), &options), "a failed trial puts it aside again");
+    assert!(health.record_failure(at(1), &options), "a failed trial puts it aside again");
     assert!(!health.is_usable(at(1) + options.first_ejection));
 
-    health.succeeded(&options);
+    health.record_success(&options);
     assert!(health.is_usable(at(3)));
     assert!(health.weight(&options) < 0.2, "{}", health.weight(&options));
 
     for _ in 0..options.successes_to_restore {
-        health.succeeded(&options);
+        health.record_success(&options);
     }
 
     assert_eq!(health.weight(&options), 1.0);
@@ -198,14 +198,14 @@
     let mut chooser = Chooser::new("hall-0", ChooserOptions { draws: 16, ..Default::default() });
     let mut random = SeededSource::new(4);
     let now = Duration::from_secs(1);
-    let busy = LoadReport { in_flight: 60, waiting: 0, places: 64 };
+    let busy = LoadReport { in_flight: 60, waiting: 0, slots: 64 };
 
-    chooser.reported("target-000", busy, now);
+    chooser.record_report("target-000", busy, now);
     chooser.set_leaving("target-001", now);
 
     for _ in 0..2 {
-        chooser.sent("target-002");
-        chooser.ended("target-002", Some(false), now);
+        chooser.record_sent("target-002");
+        chooser.record_end("target-002", Some(false), now);
     }
 
     let mut pick = |avoid: &[String]| {
@@ -224,8 +224,8 @@
 
     for route in &all {
         for _ in 0..2 {
-            chooser.sent(&route.name);
-            chooser.ended(&route.name, Some(false), now);
+            chooser.record_sent(&route.name);
+            chooser.record_end(&route.name, Some(false), now);
         }
     }
 
@@ -245,7 +245,7 @@
     let mut used: HashMap<String, u32> = HashMap::new();
 
     for entry in 0..400 {
-        let options = SubsetOptions { size: 12, elsewhere: 6 };
+        let options = SubsetOptions { size: 12, in_other_halls: 6 };
         let part = subset(&all, &format!("entry-{entry}"), "hall-1", options);
         assert_eq!(part.len(), 12);
         assert_eq!(part.iter().filter(|r| r.hall == "hall-1").count(), 6);
--- a/grebedeck-routing/tests/gate.rs
+++ b/grebedeck-routing/tests/gate.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use grebedeck_core::{AttemptId, Moment, Reason};
-use grebedeck_routing::{Gate, GateOptions, Key, Start, StrikeAnswer, Verdict};
+use grebedeck_routing::{Gate, GateOptions, Key, StartRequest, StrikeAnswer, Verdict};
 use proptest::prelude::*;
 
 const BORN_MS: u64 = 1_000_000;
@@ -13,10 +13,10 @@
     Gate::new(7, BORN_MS, GateOptions::default())
 }
 
-fn start(request: u128, number: u32) -> Start {
+fn start(request: u128, number: u32) -> StartRequest {
     let attempt = AttemptId { request, number };
 
-    Start {
+    StartRequest {
         attempt,
         incarnation: 7,
         sent_unix_ms: BORN_MS,
@@ -26,10 +26,10 @@
     }
 }
 
-fn keyed(request: u128, key: u128, issued: Option<u64>) -> Start {
+fn keyed(request: u128, key: u128, issued: Option<u64>) -> StartRequest {
     let key = Some(Key { digest: key, issued_unix_ms: issued });
 
-    Start { key, ..start(request, 0) }
+    StartRequest { key, ..start(request, 0) }
 }
 
 #[test]
@@ -76,7 +76,7 @@
 #[test]
 fn another_incarnation_is_refused_and_cannot_be_struck() {
     let mut gate = gate();
-    let old = Start { incarnation: 6, ..start(1, 0) };
+    let old = StartRequest { incarnation: 6, ..start(1, 0) };
 
     assert_eq!(gate.admit(&old, now(0), BORN_MS), Verdict::Refuse(Reason::StaleIncarnation));
     assert_eq!(gate.strike(old.attempt, 6, now(0)), StrikeAnswer::Unknown);
@@ -109,9 +109,9 @@
 
 #[test]
 fn a_full_or_leaving_target_and_a_passed_deadline_refuse() {
-    let options = GateOptions { places: 1, max_in_flight: 1, ..GateOptions::default() };
+    let options = GateOptions { slots: 1, max_in_flight: 1, ..GateOptions::default() };
     let mut gate = Gate::new(7, BORN_MS, options);
-    let passed = Start { deadline: Some(now(5)), ..start(3, 0) };
+    let passed = StartRequest { deadline: Some(now(5)), ..start(3, 0) };
 
     assert_eq!(gate.admit(&passed, now(5), BORN_MS), Verdict::Refuse(Reason::DeadlinePassed));
     assert_eq!(gate.admit(&start(1, 0), now(6), BORN_MS), Verdict::Run);
@@ -123,9 +123,9 @@
 
 #[test]
 fn an_attempt_that_may_not_wait_is_refused_where_no_place_is_free() {
-    let options = GateOptions { places: 1, max_in_flight: 2, ..GateOptions::default() };
+    let options = GateOptions { slots: 1, max_in_flight: 2, ..GateOptions::default() };
     let mut gate = Gate::new(7, BORN_MS, options);
-    let asking = |n| Start { may_wait: false, ..start(n, 0) };
+    let asking = |n| StartRequest { may_wait: false, ..start(n, 0) };
     let busy = Verdict::Refuse(Reason::TargetBusy);
 
     assert_eq!(gate.admit(&asking(1), now(0), BORN_MS), Verdict::Run);
@@ -142,7 +142,7 @@
     for n in 0..100u64 {
         let at = n * 10_000;
         let issued = Some(at + 10_000);
-        let start = Start { sent_unix_ms: at + 10_000, ..keyed(n.into(), n.into(), issued) };
+        let start = StartRequest { sent_unix_ms: at + 10_000, ..keyed(n.into(), n.into(), issued) };
         assert_eq!(gate.admit(&start, now(at), at + 10_000), Verdict::Run, "{n}");
         gate.finish(start.attempt, true, now(at));
         assert!(gate.key_count() <= 7, "{}", gate.key_count());
@@ -200,7 +200,7 @@
                     // An attempt is sent once, at the start; its copies arrive at any time.
                     let sent_unix_ms = BORN_MS;
                     let start =
-                        Start { sent_unix_ms, key: key_claim, ..start(attempt.request, attempt.number) };
+                        StartRequest { sent_unix_ms, key: key_claim, ..start(attempt.request, attempt.number) };
 
                     if gate.admit(&start, now(at), BORN_MS + 6_000 + at) == Verdict::Run {
                         prop_assert!(!ran.contains(&attempt));
--- a/grebedeck-routing/tests/quarantine.rs
+++ b/grebedeck-routing/tests/quarantine.rs
@@ -3,9 +3,10 @@
 use std::time::Duration;
 
 use grebedeck_core::Moment;
-use grebedeck_routing::crashes::CRASH_MEMORY;
+use grebedeck_routing::crashes::CRASH_RETENTION;
 use grebedeck_routing::quarantine::{
-    CHECK_LIMIT, FIRST_TRIAL, Finding, Lasting, MEMORY, SECOND_TRIAL, SETTLE,
+    DECISION_DELAY, FIRST_TRIAL_DELAY, PROBE_TIMEOUT, ProbeResult, RETENTION, SECOND_TRIAL_DELAY,
+    StoredChange,
 };
 use grebedeck_routing::{Clearance, Fingerprint, Identity, Quarantine, Report, TargetStart};
 use proptest::prelude::*;
@@ -32,10 +33,10 @@
     /// Lets requests break on a target, which is found crashed.
     fn crash(&mut self, target: usize, requests: &[Fingerprint]) {
         for request in requests {
-            self.quarantine.broke(&start(target), *request, self.now, self.now);
+            self.quarantine.record_broken_attempt(&start(target), *request, self.now, self.now);
         }
 
-        self.quarantine.checked(&start(target), Finding::Crashed, self.now);
+        self.quarantine.record_probe(&start(target), ProbeResult::Crashed, self.now);
     }
 
     fn pass(&mut self, time: Duration) {
@@ -62,8 +63,8 @@
     }
 
     fn tell(&mut self, other: &mut Process) {
-        let news = self.quarantine.take_news();
-        other.quarantine.take(&news, other.now);
+        let news = self.quarantine.take_updates();
+        other.quarantine.apply_report(&news, other.now);
     }
 }
 
@@ -74,14 +75,14 @@
     for target in 0..2 {
         process.crash(target, &[DEADLY]);
         process.pass(ms(60));
-        assert_eq!(process.clearance(DEADLY), Clearance::Free, "{target}");
+        assert_eq!(process.clearance(DEADLY), Clearance::Allow, "{target}");
     }
 
     process.crash(2, &[DEADLY]);
-    assert_eq!(process.clearance(DEADLY), Clearance::Wait(SETTLE));
-    process.pass(SETTLE);
-    assert_eq!(process.clearance(DEADLY), Clearance::Refuse(FIRST_TRIAL));
-    assert_eq!(process.clearance(OTHER), Clearance::Free);
+    assert_eq!(process.clearance(DEADLY), Clearance::Wait(DECISION_DELAY));
+    process.pass(DECISION_DELAY);
+    assert_eq!(process.clearance(DEADLY), Clearance::Refuse(FIRST_TRIAL_DELAY));
+    assert_eq!(process.clearance(OTHER), Clearance::Allow);
 }
 
 #[test]
@@ -91,11 +92,11 @@
     process.pass(ms(60));
     process.crash(1, &[DEADLY]);
     process.pass(ms(60));
-    process.quarantine.broke(&start(2), DEADLY, process.now, process.now);
-    assert_eq!(process.clearance(DEADLY), Clearance::Wait(CHECK_LIMIT));
+    process.quarantine.record_broken_attempt(&start(2), DEADLY, process.now, process.now);
+    assert_eq!(process.clearance(DEADLY), Clearance::Wait(PROBE_TIMEOUT));
 
-    process.quarantine.checked(&start(2), Finding::Alive, process.now);
-    assert_eq!(process.clearance(DEADLY), Clearance::Free);
+    process.quarantine.record_probe(&start(2), ProbeResult::Alive, process.now);
+    assert_eq!(process.clearance(DEADLY), Clearance::Allow);
 }
 
 #[test]
@@ -104,11 +105,16 @@
         let mut process = Process::default();
 
         for target in 0..3 {
-            process.quarantine.broke(&start(target), DEADLY, process.now, process.now);
-            process.quarantine.checked(&start(target), Finding::Alive, process.now);
-            assert_eq!(process.clearance(DEADLY), Clearance::Free);
+            process.quarantine.record_broken_attempt(
+                &start(target),
+                DEADLY,
+                process.now,
+                process.now,
+            );
+            process.quarantine.record_probe(&start(target), ProbeResult::Alive, process.now);
+            assert_eq!(process.clearance(DEADLY), Clearance::Allow);
             process.pass(pause);
-            process.quarantine.ended(&start(target).target, process.now);
+            process.quarantine.record_restart(&start(target).target, process.now);
         }
 
         assert_eq!(process.is_refused(DEADLY), refuses, "{pause:?}");
@@ -124,11 +130,11 @@
         process.pass(ms(200));
 
         if target % 2 == 1 {
-            process.quarantine.answered(OTHER, process.now);
+            process.quarantine.record_answer(OTHER, process.now);
         }
 
         process.pass(ms(200));
-        assert_eq!(process.clearance(OTHER), Clearance::Free, "{target}");
+        assert_eq!(process.clearance(OTHER), Clearance::Allow, "{target}");
     }
 }
 
@@ -142,9 +148,9 @@
             let runs: &[Fingerprint] = if target == 1 { &[10, 11] } else { &[10 + target as u128] };
             let lost = TargetStart::listed(&format!("t{target}"), Some(moment));
             runs.iter().for_each(|request| {
-                process.quarantine.broke(&lost, *request, process.now, process.now);
+                process.quarantine.record_broken_attempt(&lost, *request, process.now, process.now);
             });
-            process.quarantine.checked(&lost, Finding::Crashed, process.now);
+            process.quarantine.record_probe(&lost, ProbeResult::Crashed, process.now);
             process.pass(ms(5));
         }
 
@@ -152,7 +158,7 @@
     }
 
     for request in 10..16 {
-        assert_eq!(process.clearance(request), Clearance::Free, "{request}");
+        assert_eq!(process.clearance(request), Clearance::Allow, "{request}");
     }
 }
 
@@ -162,11 +168,11 @@
 
     for target in 0..3 {
         process.crash(target, &[OTHER]);
-        process.quarantine.found_crashed(&start(10 + target), [], process.now);
+        process.quarantine.record_crash(&start(10 + target), [], process.now);
         process.pass(ms(3000));
     }
 
-    assert_eq!(process.clearance(OTHER), Clearance::Free);
+    assert_eq!(process.clearance(OTHER), Clearance::Allow);
 }
 
 #[test]
@@ -179,9 +185,9 @@
         process.pass(ms(70));
     }
 
-    process.pass(SETTLE);
+    process.pass(DECISION_DELAY);
     assert!(process.is_refused(DEADLY));
-    assert_eq!(process.clearance(OTHER), Clearance::Free);
+    assert_eq!(process.clearance(OTHER), Clearance::Allow);
 }
 
 #[test]
@@ -191,7 +197,7 @@
     process.crash(1, &[DEADLY, OTHER]);
     process.pass(ms(4000));
     process.crash(2, &[DEADLY]);
-    process.pass(SETTLE);
+    process.pass(DECISION_DELAY);
 
     assert!(process.is_refused(DEADLY));
 }
@@ -202,10 +208,11 @@
 
     for _ in 0..3 {
         // Always by the list's old time of its start.
-        let start = process.quarantine.broke(&start(0), DEADLY, process.now, process.now);
+        let start =
+            process.quarantine.record_broken_attempt(&start(0), DEADLY, process.now, process.now);
 
         if let Some(start) = start {
-            process.quarantine.checked(&start, Finding::Crashed, process.now);
+            process.quarantine.record_probe(&start, ProbeResult::Crashed, process.now);
         }
 
         process.pass(ms(2000));
@@ -241,11 +248,11 @@
 
     for at in 0..3 {
         processes[at].crash(at, &[DEADLY]);
-        let news = processes[at].quarantine.take_news();
+        let news = processes[at].quarantine.take_updates();
 
         for (other, process) in processes.iter_mut().enumerate() {
             if other != at {
-                process.quarantine.take(&news, process.now);
+                process.quarantine.apply_report(&news, process.now);
             }
 
             process.pass(ms(300));
@@ -254,14 +261,16 @@
 
     assert!(processes.iter_mut().all(|process| process.is_refused(DEADLY)));
     // The one that saw the third crash makes it last.
-    let lasting: Vec<usize> =
-        processes.iter_mut().map(|process| process.quarantine.take_lasting().len()).collect();
+    let lasting: Vec<usize> = processes
+        .iter_mut()
+        .map(|process| process.quarantine.take_stored_changes().len())
+        .collect();
     assert_eq!(lasting, [0, 0, 1]);
 
     let mut later = Process::default();
-    let all = processes[0].quarantine.tell(processes[0].now);
+    let all = processes[0].quarantine.snapshot(processes[0].now);
     assert_ne!(later.quarantine.digest(), processes[0].quarantine.digest());
-    later.quarantine.take(&all, later.now);
+    later.quarantine.apply_report(&all, later.now);
     assert!(later.is_refused(DEADLY));
     assert_eq!(later.quarantine.digest(), processes[0].quarantine.digest());
 }
@@ -271,7 +280,7 @@
     let mut process = Process::default();
     process.quarantine(DEADLY);
 
-    for (trial, pause) in [FIRST_TRIAL, SECOND_TRIAL].into_iter().enumerate() {
+    for (trial, pause) in [FIRST_TRIAL_DELAY, SECOND_TRIAL_DELAY].into_iter().enumerate() {
         assert!(!process.quarantine.take_trial(DEADLY, process.now));
         process.pass(pause);
         assert_eq!(process.clearance(DEADLY), Clearance::Trial, "{trial}");
@@ -281,16 +290,16 @@
 
     let mut other = Process { now: process.now, ..Process::default() };
     process.tell(&mut other);
-    process.pass(MEMORY / 2);
-    other.pass(MEMORY / 2);
+    process.pass(RETENTION / 2);
+    other.pass(RETENTION / 2);
     assert!(process.is_refused(DEADLY) && other.is_refused(DEADLY), "no third trial");
 
-    assert!(process.quarantine.answered(DEADLY, process.now));
+    assert!(process.quarantine.record_answer(DEADLY, process.now));
     process.tell(&mut other);
-    assert_eq!(process.clearance(DEADLY), Clearance::Free);
-    assert_eq!(other.clearance(DEADLY), Clearance::Free);
-    let lasting = process.quarantine.take_lasting();
-    assert_eq!(lasting.last(), Some(&Lasting::Released(DEADLY)));
+    assert_eq!(process.clearance(DEADLY), Clearance::Allow);
+    assert_eq!(other.clearance(DEADLY), Clearance::Allow);
+    let lasting = process.quarantine.take_stored_changes();
+    assert_eq!(lasting.last(), Some(&StoredChange::Released(DEADLY)));
 }
 
 #[test]
@@ -298,20 +307,20 @@
     let mut process = Process::default();
     process.quarantine(DEADLY);
     let mut other = Process { now: process.now, ..Process::default() };
-    let stale = process.quarantine.tell(process.now);
+    let stale = process.quarantine.snapshot(process.now);
     process.tell(&mut other);
-    process.quarantine.answered(DEADLY, process.now);
+    process.quarantine.record_answer(DEADLY, process.now);
     process.tell(&mut other);
-    other.quarantine.take(&stale, other.now);
+    other.quarantine.apply_report(&stale, other.now);
 
-    assert_eq!(other.clearance(DEADLY), Clearance::Free);
+    assert_eq!(other.clearance(DEADLY), Clearance::Allow);
 }
 
 #[test]
 fn what_is_stored_is_refused_after_a_start() {
     let mut process = Process::default();
     process.quarantine.restore(DEADLY, 1, process.now);
-    assert_eq!(process.clearance(DEADLY), Clearance::Refuse(SECOND_TRIAL));
+    assert_eq!(process.clearance(DEADLY), Clearance::Refuse(SECOND_TRIAL_DELAY));
 }
 
 #[test]
@@ -319,11 +328,14 @@
     let mut process = Process::default();
     process.quarantine(DEADLY);
     process.crash(5, &[OTHER]);
-    process.pass(MEMORY + CRASH_MEMORY * 2);
-    process.quarantine.forget_old(process.now);
+    process.pass(RETENTION + CRASH_RETENTION * 2);
+    process.quarantine.evict_expired(process.now);
 
     assert!(process.quarantine.is_idle());
-    assert_eq!(process.quarantine.take_lasting().last(), Some(&Lasting::Released(DEADLY)));
+    assert_eq!(
+        process.quarantine.take_stored_changes().last(),
+        Some(&StoredChange::Released(DEADLY))
+    );
 }
 
 #[test]
@@ -339,17 +351,17 @@
         let one_off = 1000 + u128::from(crash) * 100;
 
         for request in one_off..one_off + 10 {
-            process.quarantine.broke(&lost, request, process.now, process.now);
+            process.quarantine.record_broken_attempt(&lost, request, process.now, process.now);
         }
 
-        process.quarantine.checked(&lost, Finding::Crashed, process.now);
+        process.quarantine.record_probe(&lost, ProbeResult::Crashed, process.now);
     }
 
     let (crashes, suspects, _) = process.quarantine.len();
     assert!(crashes <= 1024 && suspects <= 32 << 10, "{crashes} crashes, {suspects} suspects");
     process.pass(ms(1000));
     process.crash(2, &[DEADLY]);
-    process.pass(SETTLE);
+    process.pass(DECISION_DELAY);
     assert!(process.is_refused(DEADLY), "it is remembered");
 }
 
@@ -360,12 +372,12 @@
     process.crash(1, &(100..1100).collect::<Vec<_>>());
 
     for request in 100..1100 {
-        process.quarantine.answered(request, process.now);
+        process.quarantine.record_answer(request, process.now);
     }
 
-    let parts = process.quarantine.tell(process.now).into_parts(2);
+    let parts = process.quarantine.snapshot(process.now).into_parts(2);
     let mut other = Process { now: process.now, ..Process::default() };
-    parts.iter().for_each(|part| drop(other.quarantine.take(part, other.now)));
+    parts.iter().for_each(|part| drop(other.quarantine.apply_report(part, other.now)));
     assert_eq!(other.quarantine.digest(), process.quarantine.digest());
 }
 
@@ -375,11 +387,11 @@
     process.crash(0, &[DEADLY]);
 
     for request in 100..10_000 {
-        process.quarantine.answered(request, process.now);
+        process.quarantine.record_answer(request, process.now);
     }
 
-    assert!(process.quarantine.tell(process.now).cleared.is_empty());
-    assert!(process.quarantine.take_news().cleared.is_empty());
+    assert!(process.quarantine.snapshot(process.now).cleared.is_empty());
+    assert!(process.quarantine.take_updates().cleared.is_empty());
 }
 
 #[test]
@@ -420,13 +432,13 @@
     let mut process = Process::default();
     process.quarantine(DEADLY);
     process.crash(7, &(100..400).collect::<Vec<_>>());
-    let all = process.quarantine.tell(process.now);
+    let all = process.quarantine.snapshot(process.now);
     let parts = all.clone().into_parts(usize::MAX);
     assert!(parts.len() > 6);
     assert!(!parts[0].quarantined.is_empty(), "what is not sent goes first");
 
     let mut other = Process { now: process.now, ..Process::default() };
-    parts.iter().rev().for_each(|part| drop(other.quarantine.take(part, other.now)));
+    parts.iter().rev().for_each(|part| drop(other.quarantine.apply_report(part, other.now)));
     assert_eq!(other.quarantine.digest(), process.quarantine.digest());
 }
 
@@ -474,19 +486,19 @@
                     // Each crash is of a start of its own.
                     let start = TargetStart::listed(&format!("t{target}"), Some(now.as_millis() as u64));
                     runs.iter().for_each(|request| {
-                        process.quarantine.broke(&start, *request, now, now);
+                        process.quarantine.record_broken_attempt(&start, *request, now, now);
                     });
-                    process.quarantine.checked(&start, Finding::Crashed, now);
+                    process.quarantine.record_probe(&start, ProbeResult::Crashed, now);
                 }
                 Seen::Answered(request) => {
-                    process.quarantine.answered(request, now);
+                    process.quarantine.record_answer(request, now);
                     // It is told although this process had nothing to clear.
                     let cleared = grebedeck_routing::report::ClearedReport { request, age_ms: 0 };
                     reports.push((now, Report { cleared: vec![cleared], ..Report::default() }));
                 }
             }
 
-            let news = process.quarantine.take_news();
+            let news = process.quarantine.take_updates();
             reports.push((now, Report { quarantined: Vec::new(), ..news }));
         }
 
@@ -499,12 +511,12 @@
             report
         };
         let mut in_order = Quarantine::default();
-        reports.iter().for_each(|(at, report)| drop(in_order.take(&aged(*at, report), end)));
+        reports.iter().for_each(|(at, report)| drop(in_order.apply_report(&aged(*at, report), end)));
         let mut shuffled = Quarantine::default();
 
         for at in order.iter().map(|at| at % reports.len()).chain((0..reports.len()).rev()) {
             let (at, report) = &reports[at];
-            shuffled.take(&aged(*at, report), end);
+            shuffled.apply_report(&aged(*at, report), end);
         }
 
         prop_assert_eq!(in_order.digest(), shuffled.digest());
--- a/grebedeck/src/agent/crashes.rs
+++ b/grebedeck/src/agent/crashes.rs
@@ -6,7 +6,7 @@
 
 use grebedeck_core::Moment;
 use grebedeck_kernel::log;
-use grebedeck_routing::quarantine::Finding;
+use grebedeck_routing::quarantine::ProbeResult;
 
 use super::CONNECT_LIMIT_MS;
 use super::service::AgentService;
@@ -45,7 +45,7 @@
         let address = self.target.address();
         let (finding, _) = liveness::look(address, millis(CONNECT_LIMIT_MS), STAYS_OPEN).await;
 
-        if finding != Finding::Crashed {
+        if finding != ProbeResult::Crashed {
             return WorkVerdict::TargetFailed;
         }
 
--- a/grebedeck/src/agent/service.rs
+++ b/grebedeck/src/agent/service.rs
@@ -10,7 +10,7 @@
 use grebedeck_kernel::log::LineBudget;
 use grebedeck_kernel::{Clock, Counter, Metrics, Service, log};
 use grebedeck_net::http::HttpClient;
-use grebedeck_routing::{Gate, GateOptions, LoadReport, Start, StrikeAnswer, Verdict};
+use grebedeck_routing::{Gate, GateOptions, LoadReport, StartRequest, StrikeAnswer, Verdict};
 use http_types::Response;
 use serde_json::{Value, json};
 
@@ -69,7 +69,7 @@
         metrics: &Metrics,
     ) -> Self {
         let options = GateOptions {
-            places: settings.places,
+            slots: settings.places,
             max_in_flight: settings.max_in_flight,
             key_memory: millis(settings.key_memory_ms),
             max_keys: settings.max_keys,
@@ -96,7 +96,7 @@
     }
 
     /// Decides on an attempt; where it may run, the answer holds its place.
-    pub(super) fn admit(&self, start: &Start) -> Result<Running<'_>, Verdict> {
+    pub(super) fn admit(&self, start: &StartRequest) -> Result<Running<'_>, Verdict> {
         match self.gate().admit(start, self.clock.now(), unix_ms()) {
             Verdict::Run => Ok(Running { agent: self, attempt: start.attempt, ran: true }),
             verdict => Err(verdict),
@@ -117,10 +117,10 @@
     /// told as taken.
     pub(super) fn load(&self) -> LoadReport {
         let gate = self.gate();
-        let places = gate.places() as u32;
+        let places = gate.slots() as u32;
         let rested = if self.rest_left().is_some() { places } else { 0 };
 
-        LoadReport { in_flight: rested.max(gate.in_flight() as u32), waiting: 0, places }
+        LoadReport { in_flight: rested.max(gate.in_flight() as u32), waiting: 0, slots: places }
     }
 
     /// Gets how much longer the target rests, where it does.
@@ -176,7 +176,7 @@
 
         json!({
             "in_flight": gate.in_flight(),
-            "places": gate.places(),
+            "places": gate.slots(),
             "keys": gate.key_count(),
             "draining": gate.is_draining(),
         })
--- a/grebedeck/src/agent/work.rs
+++ b/grebedeck/src/agent/work.rs
@@ -10,7 +10,7 @@
 use grebedeck_net::http::client::{Answer, SendError};
 use grebedeck_net::http::end_to_end_headers;
 use grebedeck_net::{FrameReader, FrameWriter};
-use grebedeck_routing::{Start, Verdict};
+use grebedeck_routing::{StartRequest, Verdict};
 use http_types::headers::{HeaderName, HeaderValue};
 use http_types::{Method, Request, Url};
 
@@ -217,8 +217,8 @@
     }
 }
 
-fn gate_start(start: &WorkStart, now: grebedeck_core::Moment) -> Start {
-    Start {
+fn gate_start(start: &WorkStart, now: grebedeck_core::Moment) -> StartRequest {
+    StartRequest {
         attempt: start.attempt,
         incarnation: start.incarnation,
         may_wait: start.may_wait,
--- a/grebedeck/src/entry/attempt.rs
+++ b/grebedeck/src/entry/attempt.rs
@@ -79,7 +79,7 @@
 
 impl InFlight {
     fn new(entry: Arc<EntryService>, target: &str) -> Self {
-        entry.state().chooser.sent(target);
+        entry.state().chooser.record_sent(target);
 
         InFlight { entry, target: target.to_string(), success: None }
     }
@@ -93,7 +93,7 @@
     pub fn reported(&self, report: LoadReport) {
         let now = self.entry.now();
 
-        self.entry.state().chooser.reported(&self.target, report, now);
+        self.entry.state().chooser.record_report(&self.target, report, now);
     }
 
     /// Gets the entry.
@@ -105,7 +105,7 @@
 impl Drop for InFlight {
     fn drop(&mut self) {
         let now = self.entry.now();
-        let ejected = self.entry.state().chooser.ended(&self.target, self.success, now);
+        let ejected = self.entry.state().chooser.record_end(&self.target, self.success, now);
 
         if ejected {
             self.entry.counters.ejections.add("failures");
--- a/grebedeck/src/entry/dispatch.rs
+++ b/grebedeck/src/entry/dispatch.rs
@@ -4,7 +4,7 @@
 
 use grebedeck_config::Route;
 use grebedeck_core::{AttemptId, Moment, Outcome, RandomSource, Reason, Revision, TargetName};
-use grebedeck_routing::attempt::{AttemptTracker, retry_wait};
+use grebedeck_routing::attempt::{AttemptTracker, retry_backoff};
 use grebedeck_routing::{AttemptEnd, Fingerprint, Next, StrikeAnswer};
 use http_types::Response;
 
@@ -42,12 +42,12 @@
         let mut dispatch = Dispatch::try_new(self, request, revision, part)?;
         let mut tracker = AttemptTracker::new(dispatch.request.traits);
         let id = request_id();
-        dispatch.entry.state().retries.earn();
+        dispatch.entry.state().retries.deposit();
 
         loop {
             // Sent on after each crash, one request takes target after target down.
             if let Err(left) = dispatch.entry.suspects.cleared(dispatch.fingerprint).await {
-                return Err(tracker.not_sent(Reason::Quarantined(left)));
+                return Err(tracker.outcome_if_unsent(Reason::Quarantined(left)));
             }
 
             let attempt = AttemptId { request: id, number: tracker.number() };
@@ -58,11 +58,11 @@
 
             // A target that was only asked for a free place costs nothing from the budget.
             let only_asked = end == AttemptEnd::Refused(Reason::TargetBusy) && !dispatch.may_wait;
-            let mut next = tracker.ended(end, || only_asked || dispatch.may_retry());
+            let mut next = tracker.record_end(end, || only_asked || dispatch.may_retry());
 
             if next == Next::Strike {
                 let end = dispatch.strike(attempt).await;
-                next = tracker.ended(end, || dispatch.may_retry());
+                next = tracker.record_end(end, || dispatch.may_retry());
             }
 
             match next {
@@ -143,12 +143,12 @@
         let now = self.entry.now();
 
         self.home.is_none()
-            && self.entry.state().chooser.expects_free_place(&self.part, &self.tried, now)
+            && self.entry.state().chooser.expects_free_slot(&self.part, &self.tried, now)
     }
 
     /// Tells whether time and budget allow another attempt, and takes it from the budget.
     fn may_retry(&self) -> bool {
-        self.entry.now() < self.deadline && self.entry.state().retries.take()
+        self.entry.now() < self.deadline && self.entry.state().retries.try_withdraw()
     }
 
     /// Asks the agent to strike out an attempt whose connection was lost.
@@ -168,7 +168,7 @@
     }
 
     async fn wait(&self, number: u32) {
-        let wait = retry_wait(number, ProcessRandom::default().unit());
+        let wait = retry_backoff(number, ProcessRandom::default().unit());
 
         async_std::task::sleep(wait).await;
     }
--- a/grebedeck/src/entry/service.rs
+++ b/grebedeck/src/entry/service.rs
@@ -169,7 +169,7 @@
     /// Gets the allowed targets that this entry spreads its requests over.
     fn part_of(&self, allowed: &[Arc<Route>]) -> Vec<Arc<Route>> {
         let size = self.subset_targets;
-        let options = SubsetOptions { size, elsewhere: size / 2 };
+        let options = SubsetOptions { size, in_other_halls: size / 2 };
 
         subset(allowed, &self.name, &self.hall, options)
     }
--- a/grebedeck/src/entry/suspects.rs
+++ b/grebedeck/src/entry/suspects.rs
@@ -18,7 +18,7 @@
 use grebedeck_kernel::{Clock, Counter, Metrics, Service, log};
 use grebedeck_net::platform::{Instance, Role, Table, Transaction, TransactionEnd};
 use grebedeck_routing::fingerprint::{from_hex, to_hex};
-use grebedeck_routing::quarantine::{Lasting, MEMORY};
+use grebedeck_routing::quarantine::{RETENTION, StoredChange};
 use grebedeck_routing::{Clearance, Fingerprint, Quarantine, Report, TargetStart};
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
@@ -80,7 +80,7 @@
             let changed = self.changed.listen();
 
             match self.clearance(request) {
-                Clearance::Free => return Ok(()),
+                Clearance::Allow => return Ok(()),
                 Clearance::Trial => self.counter.add("trial"),
                 Clearance::Refuse(left) => {
                     self.counter.add("refused");
@@ -102,7 +102,7 @@
 
     fn clearance(&self, request: Fingerprint) -> Clearance {
         if self.lock().is_idle() {
-            return Clearance::Free;
+            return Clearance::Allow;
         }
 
         self.decide();
@@ -120,7 +120,7 @@
         // Numbers of an agent's next life begin anew, behind a greater incarnation.
         let start = TargetStart::listed(target, Some(incarnation + crash));
         let now = self.clock.now();
-        let decides = self.lock().found_crashed(&start, [request], now);
+        let decides = self.lock().record_crash(&start, [request], now);
         self.counter.add("crash");
         self.tell_news();
 
@@ -135,7 +135,7 @@
             return;
         }
 
-        if self.lock().answered(request, self.clock.now()) {
+        if self.lock().record_answer(request, self.clock.now()) {
             self.counter.add("released");
             let fingerprint = to_hex(request);
             log::info!("quarantine released", kv: { fingerprint, cause = "answered" });
@@ -146,7 +146,7 @@
 
     /// Has other entries told, and the table service, where there is something to tell.
     fn tell_news(&self) {
-        if self.lock().has_news() {
+        if self.lock().has_updates() {
             self.news.notify(usize::MAX);
         }
     }
@@ -158,7 +158,7 @@
         match message {
             SuspectMessage::Ask { digest } => {
                 let quarantine = self.lock();
-                (quarantine.digest() != digest).then(|| quarantine.tell(now))
+                (quarantine.digest() != digest).then(|| quarantine.snapshot(now))
             }
             SuspectMessage::Tell(report) => {
                 self.take(&report);
@@ -168,7 +168,7 @@
     }
 
     fn take(self: &Arc<Self>, report: &Report) {
-        let taken = self.lock().take(report, self.clock.now());
+        let taken = self.lock().apply_report(report, self.clock.now());
 
         for request in taken {
             self.note_quarantined(request, 0, "entry");
@@ -218,7 +218,7 @@
         let quarantine = self.lock();
         let (crashes, suspects, _) = quarantine.len();
         let held: BTreeMap<String, u32> =
-            quarantine.held().map(|(request, trials)| (to_hex(request), trials)).collect();
+            quarantine.entries().map(|(request, trials)| (to_hex(request), trials)).collect();
 
         json!({ "crashes": crashes, "suspects": suspects, "quarantine": held })
     }
@@ -244,7 +244,7 @@
 
         loop {
             let news = self.suspects.news.listen();
-            let report = self.suspects.lock().take_news();
+            let report = self.suspects.lock().take_updates();
 
             if !report.is_empty() {
                 self.tell(&report);
@@ -255,7 +255,7 @@
             // However much there is to tell, what was lost on the way here is asked for.
             if now >= ask_at {
                 ask_at = now + ASK_PERIOD;
-                self.suspects.lock().forget_old(now);
+                self.suspects.lock().evict_expired(now);
                 self.ask().await;
             }
 
@@ -304,13 +304,13 @@
     /// Reads what is in quarantine from the table service, and keeps it there, until the task is dropped.
     pub async fn keep<T: Table>(self, table: T) {
         self.restore(&table).await;
-        let mut open: HashMap<Fingerprint, Lasting> = HashMap::new();
+        let mut open: HashMap<Fingerprint, StoredChange> = HashMap::new();
         let mut pause = RETRY_PAUSE;
 
         loop {
             let news = self.suspects.news.listen();
 
-            for change in self.suspects.lock().take_lasting() {
+            for change in self.suspects.lock().take_stored_changes() {
                 open.insert(change.request(), change);
             }
 
@@ -371,19 +371,19 @@
     Ok((found.version, kept))
 }
 
-async fn write<T: Table>(table: &T, open: &HashMap<Fingerprint, Lasting>) -> Result<()> {
+async fn write<T: Table>(table: &T, open: &HashMap<Fingerprint, StoredChange>) -> Result<()> {
     for _ in 0..MAX_WRITE_TRIES {
         let (version, mut kept) = read(table).await?;
         let now = unix_ms();
-        kept.retain(|_, k| now.saturating_sub(k.written_unix_ms) <= MEMORY.as_millis() as u64);
+        kept.retain(|_, k| now.saturating_sub(k.written_unix_ms) <= RETENTION.as_millis() as u64);
 
         for change in open.values() {
             match change {
-                Lasting::Quarantined(request, trials) => {
+                StoredChange::Quarantined(request, trials) => {
                     let value = Buffer { trials: *trials, written_unix_ms: now };
                     kept.insert(to_hex(*request), value);
                 }
-                Lasting::Released(request) => drop(kept.remove(&to_hex(*request))),
+                StoredChange::Released(request) => drop(kept.remove(&to_hex(*request))),
             }
         }
 
--- a/grebedeck/src/gateway.rs
+++ b/grebedeck/src/gateway.rs
@@ -166,7 +166,7 @@
         gateway.forget_warm();
         gateway.forget_limits();
         gateway.refusals.borrow_mut().forget_old(gateway.now());
-        gateway.quarantine.borrow_mut().forget_old(gateway.now());
+        gateway.quarantine.borrow_mut().evict_expired(gateway.now());
         gateway.pool.drop_rested(gateway.now());
     }
 }
--- a/grebedeck/src/gateway/attempt.rs
+++ b/grebedeck/src/gateway/attempt.rs
@@ -33,7 +33,7 @@
 impl InFlight {
     /// Takes a place on a target for a request.
     pub fn new(gateway: &Rc<Gateway>, target: &Arc<TargetEntry>) -> Self {
-        gateway.chooser.borrow_mut().sent_at(&target.id, target.born_ms);
+        gateway.chooser.borrow_mut().record_sent_to_start(&target.id, target.born_ms);
 
         InFlight { gateway: gateway.clone(), target: target.clone(), success: None }
     }
@@ -48,7 +48,7 @@
     fn drop(&mut self) {
         let now = self.gateway.now();
         let (id, birth) = (&self.target.id, self.target.born_ms);
-        self.gateway.chooser.borrow_mut().ended_at(id, birth, self.success, now);
+        self.gateway.chooser.borrow_mut().record_end_at_start(id, birth, self.success, now);
         self.gateway.freed.notify(usize::MAX);
     }
 }
--- a/grebedeck/src/gateway/dump.rs
+++ b/grebedeck/src/gateway/dump.rs
@@ -21,7 +21,7 @@
             json!({
                 "id": entry.id, "service": entry.service, "hall": entry.hall,
                 "address": entry.address, "state": entry.state, "in_flight": load.in_flight,
-                "places": load.places, "takes_work": targets.takes_work(entry),
+                "places": load.slots, "takes_work": targets.takes_work(entry),
                 "born_ms": entry.born_ms, "cold_ms": self.cold_left(&entry.id).as_millis() as u64,
                 "readable": targets.is_readable(&entry.id),
                 "rest_ms": self.rest_left(&entry.id, now).as_millis() as u64,
@@ -46,7 +46,7 @@
 
         let quarantine = self.quarantine.borrow();
         let (crashes, suspects, _) = quarantine.len();
-        let held = quarantine.held();
+        let held = quarantine.entries();
         let held = held.map(|(r, trials)| json!({ "fingerprint": to_hex(r), "trials": trials }));
 
         json!({
--- a/grebedeck/src/gateway/gossip.rs
+++ b/grebedeck/src/gateway/gossip.rs
@@ -18,7 +18,7 @@
 use grebedeck_kernel::log;
 use grebedeck_routing::Report;
 use grebedeck_routing::fingerprint::to_hex;
-use grebedeck_routing::quarantine::{Lasting, MEMORY};
+use grebedeck_routing::quarantine::{RETENTION, StoredChange};
 
 use super::peers::some_of;
 use super::service::Gateway;
@@ -48,7 +48,7 @@
 
     loop {
         let news = gateway.suspects_news.listen();
-        let report = gateway.quarantine.borrow_mut().take_news();
+        let report = gateway.quarantine.borrow_mut().take_updates();
         tell_all(&gateway, &socket, report).await;
         let now = gateway.now();
 
@@ -74,7 +74,7 @@
     match message {
         SuspectMessage::Ask { digest } => {
             if gateway.quarantine.borrow().digest() != digest {
-                let report = gateway.quarantine.borrow().tell(gateway.now());
+                let report = gateway.quarantine.borrow().snapshot(gateway.now());
                 tell(gateway, socket, &[from], report, MAX_PARTS).await;
             }
         }
@@ -134,13 +134,13 @@
     gateway.relay.wait_for_list().await;
     restore(&gateway, &store).await;
     gateway.relay.set_quarantine_known();
-    let mut open: VecDeque<Lasting> = VecDeque::new();
+    let mut open: VecDeque<StoredChange> = VecDeque::new();
     let mut pause = RETRY_PAUSE;
 
     loop {
         let news = gateway.suspects_news.listen();
 
-        for change in gateway.quarantine.borrow_mut().take_lasting() {
+        for change in gateway.quarantine.borrow_mut().take_stored_changes() {
             // What is newer of a request replaces what was to be stored.
             open.retain(|other| other.request() != change.request());
             open.push_back(change);
@@ -165,12 +165,12 @@
     }
 }
 
-async fn write<S: SiteStore>(store: &S, change: Lasting) -> grebedeck_core::Result<()> {
+async fn write<S: SiteStore>(store: &S, change: StoredChange) -> grebedeck_core::Result<()> {
     match change {
-        Lasting::Quarantined(request, trials) => {
+        StoredChange::Quarantined(request, trials) => {
             store.quarantine(&QuarantineEntry { request, trials, written_unix_ms: unix_ms() }).await
         }
-        Lasting::Released(request) => store.release(request).await,
+        StoredChange::Released(request) => store.release(request).await,
     }
 }
 
@@ -195,7 +195,7 @@
         let age = Duration::from_millis(unix_ms().saturating_sub(entry.written_unix_ms));
 
         // Processes that forget it remove it; those that are gone can't.
-        if age <= MEMORY {
+        if age <= RETENTION {
             gateway.restore_quarantined(entry.request, entry.trials);
         } else if let Err(error) = store.release(entry.request).await {
             log::warn!("quarantine not stored", kv: { error = error.to_string() });
--- a/grebedeck/src/gateway/health.rs
+++ b/grebedeck/src/gateway/health.rs
@@ -52,7 +52,7 @@
         let report = LoadReport {
             in_flight: load.running + load.waiting,
             waiting: load.waiting,
-            places: target.slots,
+            slots: target.slots,
         };
         self.note_load(&target.id, report);
         self.note_slowdown(&target.id, load.slowdown);
--- a/grebedeck/src/gateway/options.rs
+++ b/grebedeck/src/gateway/options.rs
@@ -79,7 +79,7 @@
 pub const PROMPT_BURST: Duration = Duration::from_millis(100);
 /// Targets of a service that a gateway deals with. Of a group of ranks that is a twelfth of the service it has some in
 /// its subset, so it knows whether the group is open; three are drawn for each request.
-const SUBSET: SubsetOptions = SubsetOptions { size: 64, elsewhere: 16 };
+const SUBSET: SubsetOptions = SubsetOptions { size: 64, in_other_halls: 16 };
 /// How often ranks are asked to tell their load.
 pub const WATCH_PERIOD: Duration = Duration::from_millis(1000);
 /// The same while no rank has told anything yet, such as at the start.
@@ -255,7 +255,7 @@
         }
 
         if !self.uses(Mechanism::SlowExclusion) {
-            options.slow_from = f32::INFINITY;
+            options.slow_threshold = f32::INFINITY;
         }
 
         options
--- a/grebedeck/src/gateway/place.rs
+++ b/grebedeck/src/gateway/place.rs
@@ -310,7 +310,7 @@
     let decision = Decision::Chosen {
         target: target.id.clone(),
         load: view.in_flight,
-        places: view.places,
+        places: view.slots,
         load_age: view.report_age,
         allowed: per_place,
         last_event_id: request.last_event_id.get(),
--- a/grebedeck/src/gateway/pool.rs
+++ b/grebedeck/src/gateway/pool.rs
@@ -8,7 +8,7 @@
 use grebedeck_core::Moment;
 use grebedeck_gateway::TargetEntry;
 use grebedeck_http::{Connection, ResponseHead};
-use grebedeck_routing::Birth;
+use grebedeck_routing::StartId;
 
 /// How long a connection may rest where the target does not say: long enough for a quiet service's
 /// next request, short enough that most targets still have it.
@@ -20,7 +20,7 @@
 pub const MAX_KEPT: usize = 16;
 
 /// Connections are kept for one start of a target: what an earlier one left open is no way to the next.
-type Key = (SocketAddr, Birth);
+type Key = (SocketAddr, StartId);
 
 struct Buffer {
     connection: Connection,
--- a/grebedeck/src/gateway/refusing.rs
+++ b/grebedeck/src/gateway/refusing.rs
@@ -48,7 +48,7 @@
             let report = LoadReport {
                 in_flight: load.in_flight(),
                 waiting: load.waiting,
-                places: load.slots,
+                slots: load.slots,
             };
             self.note_load(&target.id, report);
         }
--- a/grebedeck/src/gateway/relay.rs
+++ b/grebedeck/src/gateway/relay.rs
@@ -564,7 +564,7 @@
 
     let quarantine = gateway.quarantine.borrow();
     let entry = |(request, trials)| QuarantineEntry { request, trials, written_unix_ms: unix_ms };
-    let entries = quarantine.held().map(entry).collect();
+    let entries = quarantine.entries().map(entry).collect();
 
     page(Duration::ZERO, &QuarantineListing { entries, unreadable: Vec::new() })
 }
--- a/grebedeck/src/gateway/service.rs
+++ b/grebedeck/src/gateway/service.rs
@@ -17,7 +17,7 @@
 };
 use grebedeck_kernel::log::LineBudget;
 use grebedeck_kernel::{Clock, Metrics, log};
-use grebedeck_routing::{Caution, Chooser, LoadReport, Quarantine};
+use grebedeck_routing::{Chooser, CrashCooldown, LoadReport, Quarantine};
 
 use super::Tasks;
 use super::buffer::SharedMemory;
@@ -98,7 +98,7 @@
     /// Requests that are not sent any more, and those that may have to be among them.
     pub(super) quarantine: RefCell<Quarantine>,
     /// Requests that were answered lately, of services whose targets' crashes stop others.
-    pub(super) answered: RefCell<Caution>,
+    pub(super) answered: RefCell<CrashCooldown>,
     /// Told when it is known of a request whether it may be sent.
     pub(super) suspects_changed: Event,
     /// Told when there is something to tell other gateways, or to store.
@@ -420,7 +420,7 @@
     pub fn note_load(&self, target: &str, report: LoadReport) {
         let now = self.now();
 
-        self.chooser.borrow_mut().reported(target, report, now);
+        self.chooser.borrow_mut().record_report(target, report, now);
         self.freed.notify(usize::MAX);
     }
 
@@ -449,7 +449,7 @@
                 log::info!("target listed", kv: {
                     target = entry.id.as_str(), service = entry.service.as_str(),
                 });
-                self.chooser.borrow_mut().listed(&entry.id, entry.born_ms, entry.slots);
+                self.chooser.borrow_mut().record_listing(&entry.id, entry.born_ms, entry.slots);
             }
             ListEvent::Restarted(entry) => {
                 self.note_ended(&entry.id);
--- a/grebedeck/src/gateway/starts.rs
+++ b/grebedeck/src/gateway/starts.rs
@@ -16,14 +16,14 @@
 
     /// Forgets what was known of a target's earlier start.
     pub(super) fn note_restart(&self, entry: &TargetEntry) {
-        let before = self.chooser.borrow().birth(&entry.id);
+        let before = self.chooser.borrow().start_id(&entry.id);
         log::info!("target restarted", kv: {
             target = entry.id.as_str(), service = entry.service.as_str(),
             born_before_ms = before.map_or(-1, |born| born as i64),
             born_ms = entry.born_ms.map_or(-1, |born| born as i64),
         });
         self.counters.starts.add("restarted");
-        self.chooser.borrow_mut().listed(&entry.id, entry.born_ms, entry.slots);
+        self.chooser.borrow_mut().record_listing(&entry.id, entry.born_ms, entry.slots);
         self.groups.borrow_mut().remove(&entry.id);
         self.refusals.borrow_mut().restarted(&entry.id);
         self.pool.drop_other_starts(entry);
--- a/grebedeck/src/gateway/suspects.rs
+++ b/grebedeck/src/gateway/suspects.rs
@@ -15,7 +15,7 @@
 use grebedeck_http::Connection;
 use grebedeck_kernel::log;
 use grebedeck_routing::fingerprint::to_hex;
-use grebedeck_routing::quarantine::Finding;
+use grebedeck_routing::quarantine::ProbeResult;
 use grebedeck_routing::{Clearance, Fingerprint, Report, TargetStart};
 
 use super::handout;
@@ -42,7 +42,7 @@
             let changed = self.suspects_changed.listen();
 
             match self.clearance(request) {
-                Clearance::Free | Clearance::Trial => return Ok(()),
+                Clearance::Allow | Clearance::Trial => return Ok(()),
                 Clearance::Refuse(left) => return Err(NoPlace::Quarantined(left)),
                 Clearance::Wait(wait) => {
                     self.counters.quarantine.add("held");
@@ -56,7 +56,7 @@
     /// Tells whether a request whose connection stands may be sent, and takes its trial where it needs one.
     pub(super) fn may_run(&self, request: &RoutedRequest) -> bool {
         match self.clearance(request) {
-            Clearance::Free => true,
+            Clearance::Allow => true,
             Clearance::Trial => self.take_quarantine_trial(request),
             Clearance::Wait(_) | Clearance::Refuse(_) => false,
         }
@@ -65,14 +65,14 @@
     fn clearance(&self, request: &RoutedRequest) -> Clearance {
         // Without any suspects a request costs nothing here, not even its fingerprint.
         if self.quarantine.borrow().is_idle() {
-            return Clearance::Free;
+            return Clearance::Allow;
         }
 
         self.decide();
         let clearance = self.quarantine.borrow_mut().clearance(request.fingerprint(), self.now());
 
         match clearance {
-            Clearance::Free if self.stops_others(&request.service) => self.caution(request),
+            Clearance::Allow if self.stops_others(&request.service) => self.caution(request),
             clearance => clearance,
         }
     }
@@ -91,14 +91,16 @@
         let quarantine = self.quarantine.borrow();
         let suspicion = quarantine.suspicion(fingerprint);
 
-        if let Some(left) = self.answered.borrow().held_back(fingerprint, suspicion, now) {
+        if let Some(left) = self.answered.borrow().remaining(fingerprint, suspicion, now) {
             self.counters.quarantine.add("held_back");
             return Clearance::Refuse(left);
         }
 
-        match quarantine.check_left(fingerprint, now) {
-            Some(left) if !self.answered.borrow().is_trusted(fingerprint) => Clearance::Wait(left),
-            _ => Clearance::Free,
+        match quarantine.probe_time_left(fingerprint, now) {
+            Some(left) if !self.answered.borrow().was_answered_recently(fingerprint) => {
+                Clearance::Wait(left)
+            }
+            _ => Clearance::Allow,
         }
     }
 
@@ -132,7 +134,8 @@
         let fingerprint = request.fingerprint();
         let listed = TargetStart::listed(&target.id, target.born_ms);
         let now = self.now();
-        let start = self.quarantine.borrow_mut().broke(&listed, fingerprint, sent_at, now);
+        let start =
+            self.quarantine.borrow_mut().record_broken_attempt(&listed, fingerprint, sent_at, now);
         let crashes = self.quarantine.borrow().suspicion(fingerprint).crashes;
         let decision = Decision::Suspected { target: target.id.clone(), fingerprint, crashes };
         request.trace.add(now, decision);
@@ -153,7 +156,7 @@
     /// Notes that a request was answered.
     pub(super) fn note_answered(&self, request: &RoutedRequest) {
         if self.stops_others(&request.service) {
-            self.answered.borrow_mut().answered(request.fingerprint());
+            self.answered.borrow_mut().record_answer(request.fingerprint());
         }
 
         if self.quarantine.borrow().is_idle() {
@@ -162,7 +165,7 @@
 
         let fingerprint = request.fingerprint();
 
-        if self.quarantine.borrow_mut().answered(fingerprint, self.now()) {
+        if self.quarantine.borrow_mut().record_answer(fingerprint, self.now()) {
             self.counters.quarantine.add("released");
             log::info!("quarantine released", kv: { fingerprint = to_hex(fingerprint), cause = "answered" });
         }
@@ -172,7 +175,7 @@
 
     /// Has other gateways told, and the store, where there is something to tell.
     fn tell_news(&self) {
-        if self.quarantine.borrow().has_news() {
+        if self.quarantine.borrow().has_updates() {
             self.suspects_news.notify(usize::MAX);
         }
     }
@@ -182,7 +185,7 @@
         let now = self.now();
 
         // Nobody can wait for a decision that is this late, so it is made with the next request.
-        if self.quarantine.borrow_mut().ended(target, now) {
+        if self.quarantine.borrow_mut().record_restart(target, now) {
             self.counters.quarantine.add("crash");
             self.tell_news();
         }
@@ -191,7 +194,7 @@
     /// Takes in what another gateway tells of crashes.
     pub(super) fn take_report(self: &Rc<Self>, report: &Report) {
         let now = self.now();
-        let taken = self.quarantine.borrow_mut().take(report, now);
+        let taken = self.quarantine.borrow_mut().apply_report(report, now);
 
         for fingerprint in taken {
             self.note_quarantined(fingerprint, 0, "gateway");
@@ -249,12 +252,17 @@
         }
     }
 
-    fn note_finding(self: &Rc<Self>, target: &TargetEntry, start: &TargetStart, finding: Finding) {
+    fn note_finding(
+        self: &Rc<Self>,
+        target: &TargetEntry,
+        start: &TargetStart,
+        finding: ProbeResult,
+    ) {
         let now = self.now();
-        let is_open = self.quarantine.borrow_mut().checked(start, finding, now);
+        let is_open = self.quarantine.borrow_mut().record_probe(start, finding, now);
         self.suspects_changed.notify(usize::MAX);
 
-        if finding != Finding::Crashed {
+        if finding != ProbeResult::Crashed {
             return self.counters.quarantine.add("no_crash");
         }
 
@@ -293,7 +301,7 @@
     let now = gateway.now();
     let mut others: Vec<&Arc<TargetEntry>> = serving
         .iter()
-        .filter(|target| !gateway.quarantine.borrow().crashed_lately(&target.id, now))
+        .filter(|target| !gateway.quarantine.borrow().crashed_recently(&target.id, now))
         .collect();
 
     for _ in 0..NEIGHBOURS.min(others.len()) {
@@ -302,7 +310,7 @@
 
         if connected.is_err_and(|error| error.is_refused()) {
             let start = TargetStart::listed(&target.id, target.born_ms);
-            gateway.quarantine.borrow_mut().found_crashed(&start, [], gateway.now());
+            gateway.quarantine.borrow_mut().record_crash(&start, [], gateway.now());
             gateway.tell_news();
         }
     }
--- a/grebedeck/src/liveness.rs
+++ b/grebedeck/src/liveness.rs
@@ -5,7 +5,7 @@
 
 use async_std::future::timeout;
 use grebedeck_http::Connection;
-use grebedeck_routing::quarantine::Finding;
+use grebedeck_routing::quarantine::ProbeResult;
 
 /// Connections that are tried until one stays open or is refused.
 const MAX_LOOKS: u32 = 3;
@@ -16,18 +16,18 @@
     address: SocketAddr,
     connect_limit: Duration,
     stays_open: Duration,
-) -> (Finding, Option<Connection>) {
+) -> (ProbeResult, Option<Connection>) {
     for _ in 0..MAX_LOOKS {
         let mut connection = match Connection::connect(address, connect_limit).await {
             Ok(connection) => connection,
-            Err(error) if error.is_refused() => return (Finding::Crashed, None),
-            Err(_) => return (Finding::Unknown, None),
+            Err(error) if error.is_refused() => return (ProbeResult::Crashed, None),
+            Err(_) => return (ProbeResult::Unknown, None),
         };
 
         if timeout(stays_open, connection.closed(1)).await.is_err() {
-            return (Finding::Alive, Some(connection));
+            return (ProbeResult::Alive, Some(connection));
         }
     }
 
-    (Finding::Unknown, None)
+    (ProbeResult::Unknown, None)
 }
--- a/grebedeck/tests/settings.rs
+++ b/grebedeck/tests/settings.rs
@@ -72,7 +72,7 @@
 fn mechanisms_are_left_out_by_name() {
     let settings = parse::<GatewaySettings>(GATEWAY).expect("valid settings");
     assert!(!settings.uses(Mechanism::SlowExclusion) && settings.uses(Mechanism::Pace));
-    assert_eq!(settings.chooser_options().slow_from, f32::INFINITY);
+    assert_eq!(settings.chooser_options().slow_threshold, f32::INFINITY);
 
     let unknown = GATEWAY.replace("slow_exclusion", "everything");
     let faults = parse::<GatewaySettings>(&unknown).unwrap_err().to_string();
