--- a/grebedeck-routing/src/admission.rs
+++ b/grebedeck-routing/src/admission.rs
@@ -1,28 +1,28 @@
-//! Admission at an entry: a limit on requests in flight, shared fairly among organisations.
+//! Admission control at an entry: a limit on requests in flight, shared fairly by organisations.
 //!
-//! While there is room, everybody may use it. Once the entry is nearly full, an organisation is
-//! refused beyond its fair share of the limit; once the targets have hardly a free place, beyond
-//! twice what the others have in flight on average. So a loud organisation finds itself refused and the others do not, and as soon
-//! as a target has a place again, anybody may take it. State is kept only for organisations with
-//! requests in flight.
+//! While there is capacity, any organisation may use it. When the entry is nearly full, an
+//! organisation is refused beyond its fair share of the limit. When the targets have hardly any free
+//! slots, it is refused beyond twice the average of the other organisations, so that a noisy
+//! neighbour is refused and the others are not. As soon as a target has a free slot, any
+//! organisation may take it. State is kept only for organisations with requests in flight.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
 use grebedeck_core::{OrganisationName, Reason};
 
-/// Times the others' average from which an organisation counts as loud; chance alone takes equal
-/// ones above the average half of the time.
-const LOUD_TIMES: usize = 2;
+/// Multiple of the others' average above which an organisation counts as noisy. Among equal
+/// organisations, chance alone puts each above the average half of the time.
+const NOISY_FACTOR: usize = 2;
 
-/// Settings of the admission.
+/// Settings of admission control.
 #[derive(Clone, Debug)]
 pub struct AdmissionOptions {
-    /// Most requests in flight in this entry.
+    /// Maximum number of requests in flight at this entry.
     pub max_in_flight: usize,
-    /// Fraction of the limit above which shares are enforced.
+    /// Fraction of the limit above which fair shares are enforced.
     pub contended_above: f64,
-    /// How long refused callers are told to wait.
+    /// Wait that refused callers are told.
     pub retry_after: Duration,
 }
 
@@ -36,7 +36,7 @@
     }
 }
 
-/// Requests in flight by organisation.
+/// Requests in flight at an entry, by organisation.
 #[derive(Clone, Debug)]
 pub struct Admission {
     options: AdmissionOptions,
@@ -45,26 +45,26 @@
 }
 
 impl Admission {
-    /// Makes an empty admission.
+    /// Creates a state without requests in flight.
     pub fn new(options: AdmissionOptions) -> Self {
         Admission { options, in_flight: 0, by_organisation: HashMap::new() }
     }
 
-    /// Gets the number of requests in flight.
+    /// Returns the number of requests in flight.
     pub fn in_flight(&self) -> usize {
         self.in_flight
     }
 
-    /// Gets the number of organisations with requests in flight.
+    /// Returns the number of organisations with requests in flight.
     pub fn active_organisations(&self) -> usize {
         self.by_organisation.len()
     }
 
-    /// Takes a place, or says why there is none. `crowded` says that the targets that the request
-    /// could go to have hardly a free place.
-    pub fn enter(&mut self, organisation: &str, crowded: bool) -> Result<(), Reason> {
+    /// Admits a request, or returns why it is refused. `is_crowded` tells that the targets which may
+    /// run the request have hardly any free slots.
+    pub fn enter(&mut self, organisation: &str, is_crowded: bool) -> Result<(), Reason> {
         let own = self.by_organisation.get(organisation).copied().unwrap_or(0);
-        let over_share = self.is_over_share(own) || (crowded && self.is_loud(own));
+        let over_share = self.is_over_share(own) || (is_crowded && self.is_noisy(own));
 
         if self.in_flight >= self.options.max_in_flight || over_share {
             return Err(Reason::Overloaded(self.options.retry_after));
@@ -87,15 +87,15 @@
         own as f64 >= share
     }
 
-    /// Tells whether an organisation has far more in flight than the others have on average.
-    fn is_loud(&self, own: usize) -> bool {
+    /// Returns whether an organisation has far more in flight than the average of the others.
+    fn is_noisy(&self, own: usize) -> bool {
         let others = self.by_organisation.len().saturating_sub(1);
 
-        // An organisation that is alone has nobody to make room for.
-        others > 0 && own * others > (self.in_flight - own) * LOUD_TIMES
+        // A single organisation takes no capacity from others.
+        others > 0 && own * others > (self.in_flight - own) * NOISY_FACTOR
     }
 
-    /// Gives a place back.
+    /// Records the end of an admitted request.
     pub fn leave(&mut self, organisation: &str) {
         let Some(own) = self.by_organisation.get_mut(organisation) else {
             return;
--- a/grebedeck-routing/src/attempt.rs
+++ b/grebedeck-routing/src/attempt.rs
@@ -1,133 +1,139 @@
-//! What to do after an attempt of a request has ended.
+//! What an entry does after an attempt of a request has ended.
+//!
+//! Only a request that certainly did not run, or one that the caller declared repeatable, is
+//! retried. When the connection to the agent is lost, the entry asks the agent to strike the
+//! attempt: to cancel it if it has not started. A confirmed strike makes a retry safe.
 
 use std::time::Duration;
 
 use grebedeck_core::{Outcome, Reason};
 
-/// Most attempts of one request.
+/// Maximum number of attempts for one request, the first included.
 pub const MAX_ATTEMPTS: u32 = 3;
 
-/// What a request allows.
+/// Request properties that decide whether it may be retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequestTraits {
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub repeatable: bool,
-    /// Whether it has a key, which ties it to the key's home.
+    /// Whether the request has an idempotency key, which binds it to the key's home target.
     pub keyed: bool,
 }
 
-/// How an attempt ended, before any part of an answer reached the caller.
+/// How an attempt ended without any part of the answer reaching the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
     /// The connection failed before anything was sent.
     NotSent,
-    /// The agent says that it did not and will not run it.
+    /// The agent did not run the attempt and never will.
     Refused(Reason),
-    /// The agent says that it cannot tell whether the request ran.
+    /// The agent cannot tell whether the request ran.
     InDoubt(Reason),
     /// The connection was lost after sending.
     Lost,
-    /// The agent confirmed that it was struck out before it started.
+    /// The agent confirmed the strike: the attempt will never start.
     Struck,
-    /// The strike was not confirmed.
+    /// The strike was not confirmed, so the attempt may have run.
     NotStruck,
-    /// The target failed after it had been given the request.
+    /// The target failed after the request was sent to it.
     TargetFailed,
 }
 
-/// What to do next.
+/// Next step for a request whose attempt has ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Next {
-    /// Try again; another target where there is one.
+    /// Retry, on another target if there is one.
     Retry,
-    /// Ask the agent to strike the attempt out.
+    /// Ask the agent to strike the attempt.
     Strike,
-    /// Tell the caller.
+    /// Report the outcome to the caller.
     Answer(Outcome),
 }
 
-/// Follows one request through its attempts.
+/// State of one request across its attempts.
 #[derive(Clone, Debug)]
 pub struct AttemptTracker {
     traits: RequestTraits,
     attempts: u32,
-    /// Set once an attempt may have run, whatever later ones say.
-    maybe_run: bool,
+    /// Set once an attempt may have run; later attempts do not reset it.
+    may_have_run: bool,
 }
 
 impl AttemptTracker {
-    /// Starts with the request's first attempt.
+    /// Creates a tracker for the request's first attempt.
     pub fn new(traits: RequestTraits) -> Self {
-        AttemptTracker { traits, attempts: 1, maybe_run: false }
+        AttemptTracker { traits, attempts: 1, may_have_run: false }
     }
 
-    /// Gets the number of the current attempt, from 0.
+    /// Returns the number of the current attempt, from 0.
     pub fn number(&self) -> u32 {
         self.attempts - 1
     }
 
-    /// Tells whether no further attempt may follow the current one.
+    /// Returns whether no further attempt may follow the current one.
     pub fn is_last(&self) -> bool {
         self.attempts >= MAX_ATTEMPTS
     }
 
-    /// Decides what follows an attempt's end. `may_retry` is asked, only where it matters, whether
-    /// budget and deadline allow another attempt.
+    /// Records how an attempt ended and returns the next step.
+    ///
+    /// `may_retry` checks the retry budget and the deadline. It is called only if a retry is
+    /// otherwise allowed, because it may withdraw from the budget.
     pub fn record_end(&mut self, end: AttemptEnd, may_retry: impl FnOnce() -> bool) -> Next {
         match end {
-            AttemptEnd::NotSent => self.not_run(Reason::Unreachable, may_retry),
-            AttemptEnd::Refused(reason) => self.not_run(reason, may_retry),
-            AttemptEnd::Struck => self.not_run(Reason::Struck, may_retry),
+            AttemptEnd::NotSent => self.after_not_run(Reason::Unreachable, may_retry),
+            AttemptEnd::Refused(reason) => self.after_not_run(reason, may_retry),
+            AttemptEnd::Struck => self.after_not_run(Reason::Struck, may_retry),
             AttemptEnd::Lost if !self.traits.repeatable => Next::Strike,
             AttemptEnd::Lost | AttemptEnd::NotStruck => {
-                self.may_have_run(Reason::ConnectionLost, may_retry)
+                self.after_possible_run(Reason::ConnectionLost, may_retry)
             }
-            AttemptEnd::TargetFailed => self.may_have_run(Reason::TargetFailed, may_retry),
+            AttemptEnd::TargetFailed => self.after_possible_run(Reason::TargetFailed, may_retry),
             AttemptEnd::InDoubt(reason) => {
-                self.maybe_run = true;
+                self.may_have_run = true;
                 Next::Answer(Outcome::Unknown(reason))
             }
         }
     }
 
-    /// Ends the request where it is not sent, for a reason that its first attempt has as well as any other.
+    /// Returns the outcome of a request whose next attempt, the first or a later one, is not sent.
     pub fn outcome_if_unsent(&self, reason: Reason) -> Outcome {
-        match (self.maybe_run, self.traits.keyed) {
+        match (self.may_have_run, self.traits.keyed) {
             (true, _) => Outcome::Unknown(Reason::TargetFailed),
-            // Its home was not asked, and may know of an earlier try.
+            // The home was not asked and may have run an earlier try of the same key.
             (false, true) => Outcome::Unknown(reason),
             (false, false) => Outcome::NotRun(reason),
         }
     }
 
-    fn not_run(&mut self, reason: Reason, may_retry: impl FnOnce() -> bool) -> Next {
-        let final_reason = matches!(reason, Reason::DeadlinePassed | Reason::TooLarge(_));
+    fn after_not_run(&mut self, reason: Reason, may_retry: impl FnOnce() -> bool) -> Next {
+        let is_final = matches!(reason, Reason::DeadlinePassed | Reason::TooLarge(_));
 
-        if !final_reason && self.retry(may_retry) {
+        if !is_final && self.begin_retry(may_retry) {
             return Next::Retry;
         }
 
-        // A keyed request may have run before, by the caller's earlier try through another entry.
-        // Its home alone knows, and with these reasons the home has not looked at the key.
-        let key_unseen =
+        // An earlier try by the caller through another entry may have run a keyed request. Only the
+        // home knows, and with these reasons it has not checked the key.
+        let is_key_unchecked =
             matches!(reason, Reason::Unreachable | Reason::StaleIncarnation | Reason::Struck);
-        let in_doubt = self.maybe_run || (self.traits.keyed && key_unseen);
-        let outcome = if in_doubt { Outcome::Unknown(reason) } else { Outcome::NotRun(reason) };
+        let is_in_doubt = self.may_have_run || (self.traits.keyed && is_key_unchecked);
+        let outcome = if is_in_doubt { Outcome::Unknown(reason) } else { Outcome::NotRun(reason) };
 
         Next::Answer(outcome)
     }
 
-    fn may_have_run(&mut self, reason: Reason, may_retry: impl FnOnce() -> bool) -> Next {
-        self.maybe_run = true;
+    fn after_possible_run(&mut self, reason: Reason, may_retry: impl FnOnce() -> bool) -> Next {
+        self.may_have_run = true;
 
-        if self.traits.repeatable && self.retry(may_retry) {
+        if self.traits.repeatable && self.begin_retry(may_retry) {
             return Next::Retry;
         }
 
         Next::Answer(Outcome::Unknown(reason))
     }
 
-    fn retry(&mut self, may_retry: impl FnOnce() -> bool) -> bool {
+    fn begin_retry(&mut self, may_retry: impl FnOnce() -> bool) -> bool {
         if self.is_last() || !may_retry() {
             return false;
         }
@@ -137,9 +143,11 @@
     }
 }
 
-/// Gets the wait before a retry, spread by a draw from `0.0..1.0`.
-pub fn retry_backoff(number: u32, draw: f64) -> Duration {
+/// Returns the exponential backoff before a retry; `jitter` is a random number in `0.0..1.0`.
+///
+/// `number` counts the earlier retries.
+pub fn retry_backoff(number: u32, jitter: f64) -> Duration {
     let base_ms = 5.0 * f64::from(1u32 << number.min(6));
 
-    Duration::from_secs_f64(base_ms * (0.5 + draw) / 1000.0)
+    Duration::from_secs_f64(base_ms * (0.5 + jitter) / 1000.0)
 }
--- a/grebedeck-routing/src/caution.rs
+++ b/grebedeck-routing/src/caution.rs
@@ -1,11 +1,13 @@
-//! Requests that are held back after a single crash, where one more would take many others down.
+//! Cooldown of a request after a single crash, for services where one crash stops many requests.
 //!
-//! The load that this answers: ranks of a model advance together, so a request that crashes one of them stops its whole
-//! group until that has formed again, with hundreds of others. Sent on when the group opens, such a request stops it
-//! again before the others have been served. Three crashes are then far more than the request is worth.
+//! The ranks of a model advance in lockstep, so a request that crashes one of them stops the whole
+//! group, with hundreds of other requests, until the group has formed again. Retried as soon as the
+//! group is back, the request would stop it again before the others are served. Waiting for the
+//! three crashes that quarantine needs is too expensive here.
 //!
-//! What ran under a crash that nothing else explains is therefore not sent for a while, unless the same was answered
-//! before: then it is none that crashes whatever runs it. Whoever ran beside it by chance loses that one request.
+//! A request that was running during a crash without another explanation is therefore not sent
+//! for a while. A request that was answered recently is exempt, because it does not crash every
+//! target that runs it. A harmless request that ran beside the cause by chance is refused as well.
 
 use std::collections::{HashSet, VecDeque};
 use std::time::Duration;
@@ -15,12 +17,13 @@
 use crate::crashes::Suspicion;
 use crate::fingerprint::Fingerprint;
 
-/// How long a request is held back: several times as long as a group needs to form and to serve those that waited.
+/// Time for which a request is not sent after a crash: several times what a group needs to form and
+/// to serve the requests that waited.
 pub const COOLDOWN: Duration = Duration::from_secs(30);
-/// Answered requests that are remembered: what is asked often is among them.
+/// Maximum number of answered requests remembered; frequent requests are among them.
 const MAX_ANSWERED: usize = 4096;
 
-/// Requests that were answered lately.
+/// Recently answered requests, which are exempt from the cooldown.
 #[derive(Clone, Debug, Default)]
 pub struct CrashCooldown {
     answered: HashSet<Fingerprint>,
@@ -28,7 +31,7 @@
 }
 
 impl CrashCooldown {
-    /// Notes that a request was answered.
+    /// Records that a request was answered.
     pub fn record_answer(&mut self, request: Fingerprint) {
         if !self.answered.insert(request) {
             return;
@@ -43,7 +46,7 @@
         }
     }
 
-    /// Gets how much longer a request is held back.
+    /// Returns the rest of a request's cooldown, or `None` if it may be sent.
     pub fn remaining(
         &self,
         request: Fingerprint,
@@ -59,7 +62,7 @@
         (!left.is_zero()).then_some(left)
     }
 
-    /// Tells whether a request was answered lately.
+    /// Returns whether the request is among the recently answered ones.
     pub fn was_answered_recently(&self, request: Fingerprint) -> bool {
         self.answered.contains(&request)
     }
--- a/grebedeck-routing/src/fingerprint.rs
+++ b/grebedeck-routing/src/fingerprint.rs
@@ -1,48 +1,50 @@
-//! The identity of a request across attempts, its caller's tries and processes.
+//! Identity of a request across attempts, repeated calls and processes.
 //!
-//! Each try of a caller has an id of its own, so the same request is known by who asks for what. Deadlines and ids of
-//! attempts are no part of it.
+//! Each call has a request id of its own, so a repeated request is recognised by its caller and
+//! content. Deadlines and attempt ids are not part of the identity.
 
 use std::num::ParseIntError;
 
 use grebedeck_core::DigestWriter;
 
-/// Digest of a request's identity. It tells requests apart, and does not withstand somebody who looks for collisions;
-/// with the caller in it, those concern nobody else's requests.
+/// Digest of a request's identity.
+///
+/// The digest is not collision-resistant against an attacker. It includes the caller, so crafted
+/// collisions affect only the attacker's own requests.
 pub type Fingerprint = u128;
 
-/// Gets a fingerprint as logs show it and stores keep it: 32 hexadecimal digits.
+/// Formats a fingerprint for logs and stores: 32 hexadecimal digits.
 pub fn to_hex(request: Fingerprint) -> String {
     format!("{request:032x}")
 }
 
-/// Reads what [`to_hex`] has written; fails for other texts.
+/// Parses the output of [`to_hex`]; fails if the text is not a hexadecimal number of 128 bits.
 pub fn from_hex(text: &str) -> Result<Fingerprint, ParseIntError> {
     Fingerprint::from_str_radix(text, 16)
 }
 
-/// What makes a request the same as another one.
+/// The parts of a request that identify it.
 #[derive(Clone, Copy, Debug)]
 pub struct Identity<'a> {
-    /// The organisation that asks; empty where nobody has to say.
+    /// The calling organisation; empty if callers need not identify themselves.
     pub caller: &'a str,
     /// HTTP method.
     pub method: &'a str,
-    /// The host that it is for; empty where the path alone says it.
+    /// The requested host; empty if the path alone identifies the service.
     pub host: &'a str,
     /// Path and query.
     pub path: &'a str,
-    /// Its body.
+    /// Request body.
     pub body: &'a [u8],
 }
 
 impl Identity<'_> {
-    /// Gets the request's fingerprint.
+    /// Returns the request's fingerprint.
     pub fn fingerprint(&self) -> Fingerprint {
         let mut writer = DigestWriter::default();
 
         for part in [self.caller, self.method, self.host, self.path] {
-            // With its length before it, no part runs into the next.
+            // Length prefixes keep different splits of the same characters apart.
             writer.update(&(part.len() as u64).to_le_bytes());
             writer.update(part.as_bytes());
         }
--- a/grebedeck-routing/src/home.rs
+++ b/grebedeck-routing/src/home.rs
@@ -1,9 +1,9 @@
-//! The home of a key: the one target whose agent remembers it.
+//! The home of an idempotency key: the one target whose agent remembers the key.
 //!
-//! The home is found by rendezvous hashing over all targets that the configuration allows, dead or
-//! alive, so it changes only with a revision. A key that may have been sent to an earlier home is
-//! in doubt; so the lists of the recent past are kept, and a key is sent only if every list since
-//! it was issued gives the same home.
+//! The home is chosen by rendezvous hashing over all targets that the configuration allows, dead or
+//! alive, so it changes only with a configuration revision. A key may have been used at an earlier
+//! home, so recent target lists are kept, and a keyed request is sent only if every list since the
+//! key was issued gives the same home.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,19 +13,24 @@
 
 use crate::key::Key;
 
-/// The targets that a request's organisation and service were allowed from some time on.
+/// Targets allowed for a request's organisation and service from a revision on.
 #[derive(Clone, Copy, Debug)]
 pub struct AllowedSince<'a> {
-    /// When the revision was accepted.
+    /// When the revision was accepted, in milliseconds since the Unix epoch.
     pub from_unix_ms: UnixMs,
     /// The allowed targets, ordered by name.
     pub allowed: &'a [Arc<Route>],
 }
 
-/// Gets the key's home, or why it cannot be told.
+/// Returns the key's home, or the reason why it is not certain.
 ///
-/// `lists` holds the newest list first and reaches back without a gap. `margin` is the time that a
-/// revision may take until it is in force everywhere, with the skew of clocks.
+/// `lists` yields the newest list first, without gaps. `margin` is the maximum time until a revision
+/// is in force in all processes, plus the maximum clock skew.
+///
+/// # Errors
+///
+/// `KeyOlderThanMemory` if the key may have been used at another home; `NoCapacity` if a list
+/// within the key's lifetime has no targets or there is no list.
 pub fn find_home<'a>(
     lists: impl Iterator<Item = AllowedSince<'a>>,
     key: &Key,
@@ -36,24 +41,24 @@
     let mut home: Option<&'a Arc<Route>> = None;
 
     for list in lists {
-        let here = home_in(list.allowed, key).ok_or(Reason::NoCapacity)?;
-        let newest = *home.get_or_insert(here);
+        let candidate = home_among(list.allowed, key).ok_or(Reason::NoCapacity)?;
+        let newest = *home.get_or_insert(candidate);
 
-        if newest.name != here.name {
+        if newest.name != candidate.name {
             return Err(Reason::KeyOlderThanMemory);
         }
 
-        // Lists before this one were out of use everywhere when the key was issued.
+        // No process used older lists any more when the key was issued.
         if issued > list.from_unix_ms + margin_ms {
             return Ok(newest);
         }
     }
 
-    // What was allowed before the oldest known list is not known.
+    // The key may be older than the oldest known list.
     Err(if home.is_some() { Reason::KeyOlderThanMemory } else { Reason::NoCapacity })
 }
 
-fn home_in<'a>(allowed: &'a [Arc<Route>], key: &Key) -> Option<&'a Arc<Route>> {
+fn home_among<'a>(allowed: &'a [Arc<Route>], key: &Key) -> Option<&'a Arc<Route>> {
     let folded = (key.digest as u64) ^ ((key.digest >> 64) as u64);
 
     allowed.iter().max_by_key(|r| rendezvous(folded, &r.name))
--- a/grebedeck-routing/src/lib.rs
+++ b/grebedeck-routing/src/lib.rs
@@ -1,7 +1,8 @@
-//! Decisions on requests: choice of target, limits, retries, and running a request at most once.
+//! Routing decisions: choice of target, admission, retries, at-most-once execution and quarantine.
 //!
-//! All of it is pure. The entry drives [`Chooser`], [`Admission`], [`RetryBudget`] and
-//! [`AttemptTracker`]; the agent drives [`Gate`]. Entries and gateways drive [`Quarantine`].
+//! The crate does no I/O and reads no clock; callers pass in the time. Entries, which accept
+//! requests from callers, use [`Chooser`], [`Admission`], [`RetryBudget`] and [`AttemptTracker`].
+//! The agent, which runs beside each target, uses [`Gate`]. Entries and gateways use [`Quarantine`].
 
 #![forbid(unsafe_code)]
 
--- a/grebedeck-routing/src/report.rs
+++ b/grebedeck-routing/src/report.rs
@@ -1,68 +1,70 @@
-//! What processes tell each other of crashes and of the requests that ran under them.
+//! Reports that processes exchange about crashes and the requests that were running during them.
 //!
-//! Processes share no clock, so times are told as ages. Whatever order reports come in, and however often, those who
-//! have the same ones come to the same conclusions.
+//! Processes share no clock, so reports contain ages instead of times. Reports may arrive in any
+//! order and more than once: processes that have the same reports come to the same conclusions.
 
 use serde::{Deserialize, Serialize};
 
 use crate::crashes::TargetStart;
 use crate::fingerprint::Fingerprint;
 
-/// Fingerprints and entries that fit into one part of a report: a datagram that no usual network splits.
+/// Maximum number of items in one part of a report, so that a datagram is not fragmented.
 const PART_ITEMS: usize = 48;
 
-/// A target's crash.
+/// Crash of a target.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashReport {
-    /// The start that ended.
+    /// The start of the target that ended with the crash.
     pub start: TargetStart,
-    /// How long ago it was, in milliseconds.
+    /// Time since the crash, in milliseconds.
     pub age_ms: u64,
-    /// Requests that ran there and are still suspected.
+    /// Requests that were running on the target and are still suspected.
     pub runs: Vec<Fingerprint>,
 }
 
-/// A request that is not sent any more.
+/// Request in quarantine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuarantinedReport {
     /// The request.
     pub request: Fingerprint,
-    /// How long ago it was put there, in milliseconds.
+    /// Time since it entered quarantine, in milliseconds.
     pub age_ms: u64,
-    /// Trials since.
+    /// Number of trials since then.
     pub trials: u32,
-    /// How long ago the last of them was, or else it was put there, in milliseconds.
+    /// Time since the last trial, or since it entered quarantine, in milliseconds.
     pub tried_ms: u64,
 }
 
-/// A request that was answered.
+/// Request that was answered and is not suspected for earlier crashes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClearedReport {
     /// The request.
     pub request: Fingerprint,
-    /// How long ago, in milliseconds.
+    /// Time since the answer, in milliseconds.
     pub age_ms: u64,
 }
 
-/// News, or all that is known.
+/// Recent updates, or a full snapshot.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// Crashes.
+    /// Crashes of targets.
     pub crashes: Vec<CrashReport>,
-    /// Requests that were answered since.
+    /// Requests that were answered after a crash.
     pub cleared: Vec<ClearedReport>,
-    /// Requests that are not sent any more.
+    /// Requests in quarantine.
     pub quarantined: Vec<QuarantinedReport>,
 }
 
 impl Report {
-    /// Tells whether there is nothing to tell.
+    /// Returns whether the report has no content.
     pub fn is_empty(&self) -> bool {
         self.crashes.is_empty() && self.cleared.is_empty() && self.quarantined.is_empty()
     }
 
-    /// Splits the report into parts that fit into datagrams, at most `max_parts` of them. What is quarantined goes
-    /// first, and then crashes in their order: they are told without those that were cleared, so the rest matters least.
+    /// Splits the report into at most `max_parts` parts that each fit into a datagram.
+    ///
+    /// Quarantined requests come first, then crashes in their order. Crashes no longer contain
+    /// cleared requests, so the cleared ones matter least and come last.
     pub fn into_parts(self, max_parts: usize) -> Vec<Report> {
         let quarantined = self.quarantined.chunks(PART_ITEMS);
         let quarantined =
@@ -76,7 +78,7 @@
     }
 }
 
-/// Splits a crash with many requests; the parts are one crash again where they are taken in.
+/// Splits a crash with many requests; the receiver merges the parts by their start.
 fn split_crash(crash: &CrashReport) -> Vec<CrashReport> {
     if crash.runs.is_empty() {
         return vec![crash.clone()];
--- a/grebedeck-routing/src/retry.rs
+++ b/grebedeck-routing/src/retry.rs
@@ -1,11 +1,13 @@
-//! Budget for retries, so that a failing hall does not double everybody's load.
+//! Retry budget: a token bucket that caps retries at a fraction of first attempts.
+//!
+//! Without the cap, retries of a failing hall's requests would double the load of all targets.
 
 /// Settings of a retry budget.
 #[derive(Clone, Debug)]
 pub struct RetryOptions {
-    /// Retries that each first attempt earns.
+    /// Tokens that each first attempt deposits; a retry costs one.
     pub tokens_per_request: f64,
-    /// Most retries that can be saved up.
+    /// Capacity of the bucket, in retries.
     pub max_tokens: f64,
 }
 
@@ -15,33 +17,33 @@
     }
 }
 
-/// A bucket that first attempts fill and retries empty.
+/// A token bucket that first attempts fill and retries empty.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     options: RetryOptions,
-    saved: f64,
+    tokens: f64,
 }
 
 impl RetryBudget {
-    /// Makes a full budget.
+    /// Creates a full bucket.
     pub fn new(options: RetryOptions) -> Self {
-        let saved = options.max_tokens;
+        let tokens = options.max_tokens;
 
-        RetryBudget { options, saved }
+        RetryBudget { options, tokens }
     }
 
-    /// Notes a first attempt.
+    /// Deposits the tokens of a first attempt.
     pub fn deposit(&mut self) {
-        self.saved = (self.saved + self.options.tokens_per_request).min(self.options.max_tokens);
+        self.tokens = (self.tokens + self.options.tokens_per_request).min(self.options.max_tokens);
     }
 
-    /// Takes one retry where the budget has one left.
+    /// Withdraws the token for one retry; returns whether there was one.
     pub fn try_withdraw(&mut self) -> bool {
-        if self.saved < 1.0 {
+        if self.tokens < 1.0 {
             return false;
         }
 
-        self.saved -= 1.0;
+        self.tokens -= 1.0;
         true
     }
 }
