--- a/grebedeck-routing/src/admission.rs
+++ b/grebedeck-routing/src/admission.rs
@@ -1,8 +1,8 @@
 //! Admission control at an entry: a limit on requests in flight, shared fairly by organisations.
 //!
 //! While there is capacity, any organisation may use it. When the entry is nearly full, an
-//! organisation is refused beyond its fair share of the limit. When the targets have hardly any free
-//! slots, it is refused beyond twice the average of the other organisations, so that a noisy
+//! organisation is refused beyond its fair share of the limit. When the targets have hardly any
+//! free slots, it is refused beyond twice the average of the other organisations, so that a noisy
 //! neighbour is refused and the others are not. As soon as a target has a free slot, any
 //! organisation may take it. State is kept only for organisations with requests in flight.
 
@@ -60,8 +60,8 @@
         self.by_organisation.len()
     }
 
-    /// Admits a request, or returns why it is refused. `is_crowded` tells that the targets which may
-    /// run the request have hardly any free slots.
+    /// Admits a request, or returns why it is refused. `is_crowded` tells that the targets which
+    /// may run the request have hardly any free slots.
     pub fn enter(&mut self, organisation: &str, is_crowded: bool) -> Result<(), Reason> {
         let own = self.by_organisation.get(organisation).copied().unwrap_or(0);
         let over_share = self.is_over_share(own) || (is_crowded && self.is_noisy(own));
--- a/grebedeck-routing/src/crashes.rs
+++ b/grebedeck-routing/src/crashes.rs
@@ -1,12 +1,13 @@
-//! Which targets crashed, and which requests ran there.
+//! Crashes of targets and the requests that were running on them.
 //!
-//! A crash says something of a request only if nothing else explains it. What ran beside a deadly request was there by
-//! chance, and so was whatever ran when a hall lost its power: then targets end in the same moment on which the request
-//! did not run. So a crash counts against those that ran there, unless
+//! A crash is evidence against a request only if nothing else explains it. A request may have run
+//! by chance beside a poison request (one that crashes every target that runs it) or in a hall that
+//! lost power, in which case targets that did not run the request crash at the same time. A crash
+//! therefore counts against each request that was running on the target, unless
 //!
-//! - another target crashed in the same moment that the request did not run on, or
-//! - a request ran beside it that is known to be deadly, or
-//! - the request was answered since: who crashes each target that runs it never is.
+//! - another target, which was not running the request, crashed at the same time, or
+//! - a known poison request was running on the same target, or
+//! - the request has been answered since, as a poison request never is.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
@@ -18,36 +19,38 @@
 use crate::fingerprint::Fingerprint;
 use crate::report::{ClearedReport, CrashReport};
 
-/// Crashes within this time of each other have one cause: a loss of power takes no longer, and a request that is sent
-/// on after a crash needs some of it to crash the next target.
+/// Crashes within this time of each other are attributed to one cause. A loss of power takes no
+/// longer, and a request that is retried after a crash needs some time to crash the next target.
 pub const CORRELATION_WINDOW: Duration = Duration::from_millis(100);
-/// How long a crash counts: callers that ask again after longer than that are as good as new ones.
+/// Time for which a crash counts; a request repeated later than that is treated as a new one.
 pub const CRASH_RETENTION: Duration = Duration::from_secs(600);
-/// Crashes after which a request is not sent any more. Two are met by chance: by whoever is sent on once beside a request
-/// that crashes targets.
+/// Number of crashes after which a request is quarantined. Two can happen by chance, to a request
+/// that is retried once beside a poison request.
 pub const CRASH_LIMIT: usize = 3;
-/// Most requests that are kept of one crash.
-const MAX_RUNS: usize = 1024;
-/// Most requests that are kept of all crashes: 1 MB.
-const MAX_ALL_RUNS: usize = 32 << 10;
-/// Most crashes that are kept.
+/// Maximum number of requests stored per crash.
+const MAX_REQUESTS_PER_CRASH: usize = 1024;
+/// Maximum number of requests stored for all crashes together: 1 MB.
+const MAX_REQUESTS: usize = 32 << 10;
+/// Maximum number of crashes stored.
 const MAX_CRASHES: usize = 1024;
-/// Most answered requests that are remembered of those that were suspected, so that late reports accuse none again.
+/// Maximum number of cleared requests remembered, so that late reports do not make them suspects
+/// again.
 const MAX_CLEARED: usize = 4096;
 
-/// One life of a target.
+/// One start of a target, up to its crash or shutdown.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct TargetStart {
-    /// The target.
+    /// Name of the target.
     pub target: String,
-    /// The time of its start, where it tells it.
+    /// Identifier of the start, if the target reports one.
     pub born: StartId,
-    /// Whether it is the start after that one: lists lag, so a target may be used before its new start is listed.
+    /// Whether this is the start after the one in `born`. The target list lags, so a target may be
+    /// used before its new start is listed.
     pub is_next: bool,
 }
 
 impl TargetStart {
-    /// Makes the start that is listed for a target.
+    /// Creates the start that the target list contains.
     pub fn listed(target: &str, born: StartId) -> Self {
         TargetStart { target: target.to_string(), born, is_next: false }
     }
@@ -59,13 +62,14 @@
     runs: BTreeSet<Fingerprint>,
 }
 
-/// How many crashes each request ran under.
+/// Number of crashes during which each request was running.
 #[derive(Clone, Debug, Default)]
 struct RunCounts {
     crashes: HashMap<Fingerprint, usize>,
-    /// Those that ran under [`CRASH_LIMIT`] crashes or more: they are asked for with every request, and are few.
-    often: BTreeSet<Fingerprint>,
-    /// Runs of all requests together.
+    /// Requests with [`CRASH_LIMIT`] or more crashes. They are few and are read for each incoming
+    /// request, so they are kept apart.
+    repeat: BTreeSet<Fingerprint>,
+    /// Sum of all counts.
     runs: usize,
 }
 
@@ -76,7 +80,7 @@
         self.runs += 1;
 
         if *count >= CRASH_LIMIT {
-            self.often.insert(request);
+            self.repeat.insert(request);
         }
     }
 
@@ -88,7 +92,7 @@
         *count -= 1;
 
         if *count < CRASH_LIMIT {
-            self.often.remove(&request);
+            self.repeat.remove(&request);
         }
 
         if *count == 0 {
@@ -101,16 +105,16 @@
     }
 }
 
-/// How much speaks against a request.
+/// Evidence against a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Suspicion {
-    /// Crashes that nothing else explains.
+    /// Number of crashes that nothing else explains.
     pub crashes: usize,
-    /// When the newest of them was.
+    /// Time of the newest of these crashes.
     pub newest: Moment,
 }
 
-/// Crashes, and who ran under them.
+/// Recent crashes with the requests that were running.
 #[derive(Clone, Debug, Default)]
 pub struct CrashLog {
     crashes: BTreeMap<TargetStart, Crash>,
@@ -119,28 +123,30 @@
 }
 
 impl CrashLog {
-    /// Tells whether no request is suspected.
+    /// Returns whether no request is suspected.
     pub fn is_empty(&self) -> bool {
         self.suspects.crashes.is_empty()
     }
 
-    /// Tells whether a request ran under a crash and was not answered since.
+    /// Returns whether a request was running during a crash and has not been answered since.
     pub fn is_suspected(&self, request: Fingerprint) -> bool {
         self.suspects.crashes.contains_key(&request)
     }
 
-    /// Gets when a start crashed, where it is known to have.
+    /// Returns when a start crashed, if it is known to have crashed.
     pub fn crashed_at(&self, start: &TargetStart) -> Option<Moment> {
         self.crashes.get(start).map(|crash| crash.at)
     }
 
-    /// Tells whether some start of a target crashed within a time.
+    /// Returns whether any start of a target crashed at `since` or later.
     pub fn crashed_since(&self, target: &str, since: Moment) -> bool {
         self.crashes.iter().any(|(start, crash)| start.target == target && crash.at >= since)
     }
 
-    /// Notes requests that ran on a start when it crashed; tells whether that is news. The earliest time that is told
-    /// of a crash is the nearest to it.
+    /// Records requests that were running on a start when it crashed; returns whether that was new.
+    ///
+    /// If the time of a crash is recorded more than once, the earliest is kept as the most
+    /// accurate.
     pub fn record(
         &mut self,
         start: &TargetStart,
@@ -153,22 +159,25 @@
             .entry(start.clone())
             .or_insert_with(|| Crash { at, runs: BTreeSet::new() });
         crash.at = crash.at.min(at);
-        let mut is_news = is_new;
+        let mut is_changed = is_new;
 
         for request in runs {
             let is_cleared = self.cleared.get(&request).is_some_and(|cleared| *cleared >= crash.at);
 
-            if !is_cleared && crash.runs.len() < MAX_RUNS && crash.runs.insert(request) {
+            if !is_cleared
+                && crash.runs.len() < MAX_REQUESTS_PER_CRASH
+                && crash.runs.insert(request)
+            {
                 self.suspects.add(request);
-                is_news = true;
+                is_changed = true;
             }
         }
 
-        self.make_room(start);
-        is_news
+        self.evict_excess(start);
+        is_changed
     }
 
-    /// Notes that a request was answered: no crash until then was its.
+    /// Clears a request of all crashes up to `at`, because it was answered at that time.
     pub fn clear_request(&mut self, request: Fingerprint, at: Moment) {
         for crash in self.crashes.values_mut().filter(|crash| crash.at <= at) {
             if crash.runs.remove(&request) {
@@ -186,39 +195,40 @@
         }
     }
 
-    /// Tells whether a request was answered at a time or later.
+    /// Returns whether a request was answered at `at` or later.
     pub fn is_cleared_since(&self, request: Fingerprint, at: Moment) -> bool {
         self.cleared.get(&request).is_some_and(|cleared| *cleared >= at)
     }
 
-    /// Gets what speaks against a request. `is_deadly` tells whether a request is known to crash its targets.
+    /// Returns the evidence against a request; `is_poison` identifies known poison requests.
     pub fn suspicion(
         &self,
         request: Fingerprint,
-        is_deadly: impl Fn(Fingerprint) -> bool,
+        is_poison: impl Fn(Fingerprint) -> bool,
     ) -> Suspicion {
         if !self.is_suspected(request) {
             return Suspicion::default();
         }
 
         let is_explained =
-            |crash: &Crash| crash.runs.iter().any(|other| *other != request && is_deadly(*other));
-        let open: Vec<(&TargetStart, &Crash)> =
+            |crash: &Crash| crash.runs.iter().any(|other| *other != request && is_poison(*other));
+        let unexplained: Vec<(&TargetStart, &Crash)> =
             self.crashes.iter().filter(|(_, crash)| !is_explained(crash)).collect();
         let mut counted: Vec<(&str, Moment)> = Vec::new();
 
-        for (start, crash) in open.iter().filter(|(_, crash)| crash.runs.contains(&request)) {
-            let is_same_moment = |at: Moment| at.abs_diff(crash.at) <= CORRELATION_WINDOW;
-            let has_other_cause = open.iter().any(|(other, other_crash)| {
+        for (start, crash) in unexplained.iter().filter(|(_, crash)| crash.runs.contains(&request))
+        {
+            let is_simultaneous = |at: Moment| at.abs_diff(crash.at) <= CORRELATION_WINDOW;
+            let has_other_cause = unexplained.iter().any(|(other, other_crash)| {
                 other.target != start.target
-                    && is_same_moment(other_crash.at)
+                    && is_simultaneous(other_crash.at)
                     && !other_crash.runs.contains(&request)
             });
-            // Who holds an older list takes the same crash for one of an earlier start.
-            let is_known =
-                counted.iter().any(|(target, at)| *target == start.target && is_same_moment(*at));
+            // A process with an older target list reports the same crash for an earlier start.
+            let is_counted =
+                counted.iter().any(|(target, at)| *target == start.target && is_simultaneous(*at));
 
-            if !has_other_cause && !is_known {
+            if !has_other_cause && !is_counted {
                 counted.push((&start.target, crash.at));
             }
         }
@@ -228,22 +238,22 @@
         Suspicion { crashes: counted.len(), newest }
     }
 
-    /// Gets the requests that ran under [`CRASH_LIMIT`] crashes or more.
+    /// Returns the suspected requests with [`CRASH_LIMIT`] or more crashes, explained or not.
     pub fn repeat_suspects(&self) -> impl Iterator<Item = Fingerprint> {
-        self.suspects.often.iter().copied()
+        self.suspects.repeat.iter().copied()
     }
 
-    /// Forgets what was long ago.
+    /// Removes crashes and cleared requests older than [`CRASH_RETENTION`].
     pub fn evict_expired(&mut self, now: Moment) {
-        let is_old = |at: Moment| at + CRASH_RETENTION < now;
-        let old: Vec<TargetStart> =
-            self.crashes.iter().filter(|(_, c)| is_old(c.at)).map(|(s, _)| s.clone()).collect();
+        let is_expired = |at: Moment| at + CRASH_RETENTION < now;
+        let expired: Vec<TargetStart> =
+            self.crashes.iter().filter(|(_, c)| is_expired(c.at)).map(|(s, _)| s.clone()).collect();
 
-        old.iter().for_each(|start| self.forget(start));
-        self.cleared.retain(|_, at| !is_old(*at));
+        expired.iter().for_each(|start| self.remove(start));
+        self.cleared.retain(|_, at| !is_expired(*at));
     }
 
-    /// Gets all crashes and answered requests, the newest first.
+    /// Returns all crashes, newest first, and all cleared requests.
     pub fn snapshot(&self, now: Moment) -> (Vec<CrashReport>, Vec<ClearedReport>) {
         let mut crashes: Vec<CrashReport> =
             self.crashes.keys().filter_map(|start| self.crash_report(start, now)).collect();
@@ -256,7 +266,7 @@
         (crashes, cleared.collect())
     }
 
-    /// Gets one crash as it is told.
+    /// Returns the report of one crash.
     pub fn crash_report(&self, start: &TargetStart, now: Moment) -> Option<CrashReport> {
         let crash = self.crashes.get(start)?;
         let runs = crash.runs.iter().copied().collect();
@@ -264,7 +274,7 @@
         Some(CrashReport { start: start.clone(), age_ms: age_ms(crash.at, now), runs })
     }
 
-    /// Adds all that is known, but for times, to a digest.
+    /// Adds all crashes and their requests, without times, to a digest.
     pub fn digest(&self, writer: &mut DigestWriter) {
         for (start, crash) in &self.crashes {
             writer.update(start.target.as_bytes());
@@ -274,33 +284,33 @@
         }
     }
 
-    /// Gets the number of crashes and of suspected requests.
+    /// Returns the number of crashes and the number of suspected requests.
     pub fn len(&self) -> (usize, usize) {
         (self.crashes.len(), self.suspects.crashes.len())
     }
 
-    /// Forgets crashes while there are too many: first those whose requests all ran under one crash only, which is
-    /// what many one-off requests leave behind.
-    fn make_room(&mut self, newest: &TargetStart) {
-        while self.crashes.len() > MAX_CRASHES || self.suspects.runs > MAX_ALL_RUNS {
+    /// Removes crashes while there are too many. Crashes whose requests were all running during one
+    /// crash only go first: many one-off requests leave such crashes behind.
+    fn evict_excess(&mut self, newest: &TargetStart) {
+        while self.crashes.len() > MAX_CRASHES || self.suspects.runs > MAX_REQUESTS {
             let is_one_off =
                 |crash: &Crash| crash.runs.iter().all(|r| self.suspects.is_one_off(*r));
             let others = self.crashes.iter().filter(|(start, _)| *start != newest);
             let Some((start, _)) = others.min_by_key(|(_, c)| (!is_one_off(c), c.at)) else {
                 return;
             };
-            self.forget(&start.clone());
+            self.remove(&start.clone());
         }
     }
 
-    fn forget(&mut self, start: &TargetStart) {
+    fn remove(&mut self, start: &TargetStart) {
         for request in self.crashes.remove(start).into_iter().flat_map(|crash| crash.runs) {
             self.suspects.remove(request);
         }
     }
 }
 
-/// Gets the age of something that was at a moment.
+/// Returns the time since `at`, in milliseconds.
 pub fn age_ms(at: Moment, now: Moment) -> u64 {
     now.saturating_sub(at).as_millis() as u64
 }
--- a/grebedeck-routing/src/gate.rs
+++ b/grebedeck-routing/src/gate.rs
@@ -1,8 +1,9 @@
-//! The last gate before a target, held by the agent beside it.
+//! The gate in front of a target: starts each attempt at most once.
 //!
-//! Every attempt passes here once. The gate knows which incarnation it belongs to, whether the
-//! target is leaving, how many requests are in flight, which attempts were struck out, and which
-//! keys have been used. A doubled, late or misdirected copy is refused.
+//! The agent beside the target passes every attempt through its gate. The gate knows the agent's
+//! incarnation, whether the target is draining, how many requests are in flight, which attempts
+//! were struck (cancelled before they started), and which keys have been used. It refuses
+//! duplicate, late and misdirected copies of an attempt.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
@@ -14,17 +15,18 @@
 /// Settings of a gate.
 #[derive(Clone, Debug)]
 pub struct GateOptions {
-    /// Requests that the target runs at the same time; more of them wait in it.
+    /// Requests that the target runs concurrently; further ones wait in the target.
     pub slots: usize,
-    /// Most requests in flight on the target, with those that wait.
+    /// Maximum number of requests in flight on the target, including waiting ones.
     pub max_in_flight: usize,
-    /// How long a used key is remembered.
+    /// Time for which a used key is remembered.
     pub key_memory: Duration,
-    /// Most keys remembered; more are refused, none is forgotten early.
+    /// Maximum number of remembered keys. When full, new keys are refused and none is evicted
+    /// early.
     pub max_keys: usize,
-    /// How long an attempt is remembered after it ended or was struck out.
+    /// Time for which an attempt is remembered after it ended or was struck.
     pub attempt_memory: Duration,
-    /// Most that two processes' wall clocks may differ.
+    /// Maximum difference between the wall clocks of two processes.
     pub clock_margin: Duration,
 }
 
@@ -41,42 +43,42 @@
     }
 }
 
-/// An attempt that asks to be run.
+/// Request to start an attempt.
 #[derive(Clone, Debug)]
 pub struct StartRequest {
-    /// The attempt.
+    /// The attempt to start.
     pub attempt: AttemptId,
-    /// The incarnation that the entry meant.
+    /// The agent's incarnation that the entry addressed.
     pub incarnation: Incarnation,
-    /// When the entry sent it, by the entry's wall clock.
+    /// When the entry sent the attempt, by the entry's wall clock.
     pub sent_unix_ms: UnixMs,
-    /// Whether it may wait for a place; otherwise it is refused where none is free.
+    /// Whether the attempt may wait in the target; otherwise it is refused if no slot is free.
     pub may_wait: bool,
-    /// The key, for a request that runs at most once.
+    /// The idempotency key, for a request that runs at most once.
     pub key: Option<Key>,
-    /// When nobody waits for the answer any more.
+    /// When the caller stops waiting for the answer.
     pub deadline: Option<Moment>,
 }
 
-/// What the gate decides on an attempt.
+/// Decision of the gate on an attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Hand it to the target.
+    /// The attempt is sent to the target.
     Run,
-    /// It was not run and will not be.
+    /// The attempt did not run and never will.
     Refuse(Reason),
-    /// The request may have run by another attempt or incarnation.
+    /// Another attempt or another incarnation may have run the request.
     InDoubt(Reason),
 }
 
 /// Answer to a strike.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum StrikeAnswer {
-    /// It had not started, and a late copy will be refused.
+    /// The attempt had not started; a late copy will be refused.
     Struck,
-    /// It had started.
+    /// The attempt had started.
     Started,
-    /// This incarnation cannot know.
+    /// The strike was for another incarnation, whose attempts are not known.
     Unknown,
 }
 
@@ -93,13 +95,13 @@
     Used,
 }
 
-/// State of a gate.
+/// Gate of one target.
 #[derive(Debug)]
 pub struct Gate {
     options: GateOptions,
     incarnation: Incarnation,
-    /// Wall-clock time at which this gate's memory begins.
-    since_unix_ms: UnixMs,
+    /// Wall-clock time at which this gate was created, before which it knows no keys.
+    created_unix_ms: UnixMs,
     in_flight: usize,
     draining: bool,
     attempts: HashMap<AttemptId, AttemptState>,
@@ -109,12 +111,12 @@
 }
 
 impl Gate {
-    /// Makes a gate whose memory begins now.
+    /// Creates a gate that knows no attempts or keys from before `now_unix_ms`.
     pub fn new(incarnation: Incarnation, now_unix_ms: UnixMs, options: GateOptions) -> Self {
         Gate {
             options,
             incarnation,
-            since_unix_ms: now_unix_ms,
+            created_unix_ms: now_unix_ms,
             in_flight: 0,
             draining: false,
             attempts: HashMap::new(),
@@ -124,44 +126,44 @@
         }
     }
 
-    /// Gets the number of requests in flight.
+    /// Returns the number of requests in flight.
     pub fn in_flight(&self) -> usize {
         self.in_flight
     }
 
-    /// Gets how many requests the target runs at the same time.
+    /// Returns the number of requests that the target runs concurrently.
     pub fn slots(&self) -> usize {
         self.options.slots
     }
 
-    /// Gets the number of remembered keys.
+    /// Returns the number of remembered keys.
     pub fn key_count(&self) -> usize {
         self.keys.len()
     }
 
-    /// Tells whether the target is leaving.
+    /// Returns whether the gate refuses new attempts because the target is shutting down.
     pub fn is_draining(&self) -> bool {
         self.draining
     }
 
-    /// Refuses all new work from now on.
+    /// Refuses all new attempts from now on.
     pub fn drain(&mut self) {
         self.draining = true;
     }
 
-    /// Decides on an attempt.
+    /// Decides on an attempt; records it as running if it may run.
     pub fn admit(&mut self, start: &StartRequest, now: Moment, now_unix_ms: UnixMs) -> Verdict {
-        self.forget(now);
+        self.evict_expired(now);
 
         if start.incarnation != self.incarnation {
             return Verdict::Refuse(Reason::StaleIncarnation);
         }
 
-        if self.is_beyond_memory(start, now_unix_ms) {
+        if self.may_have_expired(start, now_unix_ms) {
             return Verdict::Refuse(Reason::DeadlinePassed);
         }
 
-        if let Some(verdict) = self.seen_before(start.attempt) {
+        if let Some(verdict) = self.check_attempt(start.attempt) {
             return verdict;
         }
 
@@ -169,28 +171,28 @@
             return verdict;
         }
 
-        if let Some(reason) = self.check_room(start, now) {
+        if let Some(reason) = self.check_capacity(start, now) {
             return Verdict::Refuse(reason);
         }
 
-        self.begin(start, now);
+        self.record_start(start, now);
         Verdict::Run
     }
 
-    /// Tells whether an attempt is so old that it may have been struck out and forgotten.
+    /// Returns whether an attempt is so old that the gate may have forgotten its strike.
     ///
-    /// A copy can wait in a buffer for as long as this process is paused. An attempt is struck out
-    /// after it was sent, so within half of the memory's time every strike is still known.
-    fn is_beyond_memory(&self, start: &StartRequest, now_unix_ms: UnixMs) -> bool {
-        let half = (self.options.attempt_memory / 2).as_millis() as UnixMs;
+    /// A copy can wait in a socket buffer for as long as this process is paused. An attempt is
+    /// struck after it was sent, so within half of the retention every strike is still remembered.
+    fn may_have_expired(&self, start: &StartRequest, now_unix_ms: UnixMs) -> bool {
+        let half_ms = (self.options.attempt_memory / 2).as_millis() as UnixMs;
 
-        now_unix_ms > start.sent_unix_ms + half
+        now_unix_ms > start.sent_unix_ms + half_ms
     }
 
-    fn seen_before(&self, attempt: AttemptId) -> Option<Verdict> {
+    fn check_attempt(&self, attempt: AttemptId) -> Option<Verdict> {
         match self.attempts.get(&attempt)? {
             AttemptState::Struck => Some(Verdict::Refuse(Reason::Struck)),
-            // A doubled message of an attempt that runs or ran says nothing new of it.
+            // The original is running or has run, so its duplicate must not be reported as not run.
             _ => Some(Verdict::InDoubt(Reason::DuplicateKey)),
         }
     }
@@ -204,16 +206,16 @@
 
         let margin_ms = self.options.clock_margin.as_millis() as UnixMs;
         let memory_ms = self.options.key_memory.as_millis() as UnixMs;
-        // Keys leave the memory by age, so it reaches back no further than that either.
-        let oldest = self.since_unix_ms.max(now_unix_ms.saturating_sub(memory_ms)) + margin_ms;
+        // Keys expire by age, so older ones are unknown even if this gate existed at the time.
+        let oldest_ms = self.created_unix_ms.max(now_unix_ms.saturating_sub(memory_ms)) + margin_ms;
 
         match key.issued_unix_ms {
-            Some(issued) if issued > oldest => None,
+            Some(issued) if issued > oldest_ms => None,
             _ => Some(Verdict::InDoubt(Reason::KeyOlderThanMemory)),
         }
     }
 
-    fn check_room(&self, start: &StartRequest, now: Moment) -> Option<Reason> {
+    fn check_capacity(&self, start: &StartRequest, now: Moment) -> Option<Reason> {
         if self.draining {
             return Some(Reason::Draining);
         }
@@ -222,19 +224,19 @@
             return Some(Reason::DeadlinePassed);
         }
 
-        let keys_full = start.key.is_some() && self.keys.len() >= self.options.max_keys;
+        let is_key_memory_full = start.key.is_some() && self.keys.len() >= self.options.max_keys;
 
         let options = &self.options;
-        let room = if start.may_wait { options.max_in_flight } else { options.slots };
+        let limit = if start.may_wait { options.max_in_flight } else { options.slots };
 
-        if self.in_flight >= room || keys_full {
+        if self.in_flight >= limit || is_key_memory_full {
             return Some(Reason::TargetBusy);
         }
 
         None
     }
 
-    fn begin(&mut self, start: &StartRequest, now: Moment) {
+    fn record_start(&mut self, start: &StartRequest, now: Moment) {
         let digest = start.key.map(|k| k.digest);
 
         if let Some(digest) = digest {
@@ -249,7 +251,7 @@
         self.in_flight += 1;
     }
 
-    /// Notes that an attempt ended; `ran` is false only where the target certainly got nothing.
+    /// Records the end of an attempt; `ran` is false only if nothing was sent to the target.
     pub fn finish(&mut self, attempt: AttemptId, ran: bool, now: Moment) {
         let Some(AttemptState::Running(digest)) = self.attempts.get(&attempt).copied() else {
             return;
@@ -271,14 +273,14 @@
         }
     }
 
-    /// Strikes out an attempt that has not started, so that it never will.
+    /// Strikes an attempt: if it has not started, it never will.
     pub fn strike(
         &mut self,
         attempt: AttemptId,
         incarnation: Incarnation,
         now: Moment,
     ) -> StrikeAnswer {
-        self.forget(now);
+        self.evict_expired(now);
 
         if incarnation != self.incarnation {
             return StrikeAnswer::Unknown;
@@ -295,8 +297,8 @@
         }
     }
 
-    /// Forgets what is older than its memory.
-    fn forget(&mut self, now: Moment) {
+    /// Evicts attempts and keys that have expired.
+    fn evict_expired(&mut self, now: Moment) {
         while let Some((at, attempt)) = self.attempts_by_age.front().copied() {
             if at + self.options.attempt_memory > now {
                 break;
@@ -304,7 +306,7 @@
 
             self.attempts_by_age.pop_front();
 
-            // A running attempt is noted again when it ends.
+            // A running attempt stays; it gets a new age when it ends.
             if !matches!(self.attempts.get(&attempt), Some(AttemptState::Running(_))) {
                 self.attempts.remove(&attempt);
             }
--- a/grebedeck-routing/src/home.rs
+++ b/grebedeck-routing/src/home.rs
@@ -24,8 +24,8 @@
 
 /// Returns the key's home, or the reason why it is not certain.
 ///
-/// `lists` yields the newest list first, without gaps. `margin` is the maximum time until a revision
-/// is in force in all processes, plus the maximum clock skew.
+/// `lists` yields the newest list first, without gaps. `margin` is the maximum time until a
+/// revision is in force in all processes, plus the maximum clock skew.
 ///
 /// # Errors
 ///
