--- a/grebedeck-routing/src/quarantine.rs
+++ b/grebedeck-routing/src/quarantine.rs
@@ -1,18 +1,21 @@
-//! Requests that crash whatever target runs them, and are therefore not sent any more.
+//! Quarantine for poison requests: requests that crash every target that runs them.
 //!
-//! The load it answers: a caller asks again and again for something that ends each target that begins it, at any process
-//! that takes requests. Sent on after each crash, one such request a second took ten targets down in turn, and a model's
-//! group, which has to form again each time, was out for as long as the request came.
+//! A caller may repeat a poison request again and again, through any process that accepts requests.
+//! Retried after each crash, one such request per second took down ten targets in turn. A model's
+//! group, which has to form again after each crash, was out for as long as the request came.
 //!
-//! A request is put into quarantine after three crashes that nothing but it explains (see [`crate::crashes`]). It is
-//! the third that decides, so a request under two crashes waits while it is found out whether its third attempt ended in
-//! another one, and for the moment in which a loss of power would show. All others are sent as ever.
+//! A request is quarantined after three crashes that nothing else explains (see
+//! [`crate::crashes`]). The third crash decides, so a request with two crashes waits while
+//! its third target is probed, and after the third for as long as a loss of power needs to become
+//! visible. All other requests are sent without delay.
 //!
-//! What is in quarantine is refused at once. One that is there by mistake would never come out, as only an answer clears
-//! it, so it is tried again: alone, after a minute, and once more after ten. Where that crashes a target it is not tried a
-//! third time.
+//! A request in quarantine is refused at once. Only an answer clears it, so a request quarantined
+//! by mistake would never be released. It is therefore tried again, one attempt at a time: after
+//! one minute and once more ten minutes later. If both trials crash a target, there is no third
+//! one.
 //!
-//! Processes tell each other what they see; each decides by itself and comes to the same conclusion.
+//! Processes exchange what they observe. Each decides on its own and reaches the same
+//! conclusion.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
@@ -23,62 +26,65 @@
 use crate::fingerprint::Fingerprint;
 use crate::report::{ClearedReport, CrashReport, QuarantinedReport, Report};
 
-/// How long after a request's third crash it is decided on, so that other crashes of the same moment are known,
-/// also those that other processes tell of.
+/// Time from a request's third crash to the decision on it, in which other crashes of the same
+/// moment become known, including those that other processes report.
 pub const DECISION_DELAY: Duration = CORRELATION_WINDOW;
-/// Longest time in which it is found out whether a target crashed.
+/// Maximum time for a probe whether a target crashed.
 pub const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long after a broken attempt the target's next start shows that it crashed: lists lag by less.
-const DOUBT: Duration = Duration::from_secs(10);
-/// Time until the first trial: long enough that a deadly request costs its targets little.
+/// Time after a broken attempt within which a new start of the target proves that it crashed;
+/// target lists lag by less.
+const RESTART_WINDOW: Duration = Duration::from_secs(10);
+/// Time from quarantine to the first trial, long enough that a poison request costs its targets
+/// little.
 pub const FIRST_TRIAL_DELAY: Duration = Duration::from_secs(60);
 /// Time from the first trial to the second.
 pub const SECOND_TRIAL_DELAY: Duration = Duration::from_secs(600);
-/// Trials of a request; the operators' bound on sends is one more, for trials by two processes at once.
+/// Maximum number of trials. The operators' bound on sends is one higher, because two processes may
+/// make a trial at the same time.
 const MAX_TRIALS: u32 = 2;
-/// How long a request stays in quarantine that nobody asks for, and the time that callers of one are told which is not
-/// tried again.
+/// Time for which a request that no caller repeats stays in quarantine. Callers of a request
+/// without further trials are told to wait this long.
 pub const RETENTION: Duration = Duration::from_secs(24 * 3600);
-/// Most requests in quarantine. Beyond it the one that nobody has asked for the longest comes out.
+/// Maximum number of requests in quarantine; the least recently requested one is evicted.
 const MAX_QUARANTINED: usize = 1024;
-/// Most targets that are looked at at a time, or were lately.
-const MAX_CHECKS: usize = 1024;
+/// Maximum number of running and recent probes.
+const MAX_PROBES: usize = 1024;
 
 /// Whether a request may be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Clearance {
-    /// It may.
+    /// The request may be sent.
     Allow,
-    /// It may, as a trial, if [`Quarantine::take_trial`] agrees.
+    /// The request may be sent as a trial if [`Quarantine::take_trial`] returns `true`.
     Trial,
-    /// It is not known yet, and will be after this time.
+    /// The decision is pending; it is known after this time at the latest.
     Wait(Duration),
-    /// It may not. It may be tried after this time.
+    /// The request may not be sent; it may be tried after this time.
     Refuse(Duration),
 }
 
-/// What became of a look at a target on which an attempt broke.
+/// Result of probing a target on which an attempt broke.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProbeResult {
-    /// It takes no connections: it has crashed.
+    /// The target refuses connections: it has crashed.
     Crashed,
-    /// It takes connections and keeps them.
+    /// The target accepts connections and keeps them open.
     Alive,
-    /// It is silent, so nothing is known.
+    /// The target does not respond, so its state is unknown.
     Unknown,
 }
 
-/// A change that is to outlast this process.
+/// A change to write to persistent storage, for processes that start later.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoredChange {
-    /// A request is in quarantine, with so many trials since.
+    /// The request is in quarantine; the number counts its trials since then.
     Quarantined(Fingerprint, u32),
-    /// It is no longer.
+    /// The request is no longer in quarantine.
     Released(Fingerprint),
 }
 
 impl StoredChange {
-    /// Gets the request that it is about.
+    /// Returns the request that the change is about.
     pub fn request(self) -> Fingerprint {
         match self {
             StoredChange::Quarantined(request, _) | StoredChange::Released(request) => request,
@@ -86,25 +92,28 @@
     }
 }
 
-/// A target on which attempts broke.
+/// Running or recent probe of a target on which attempts broke.
 #[derive(Clone, Debug)]
-struct Check {
+struct Probe {
+    /// When the first of the attempts broke.
     at: Moment,
+    /// Requests whose attempts broke.
     runs: BTreeSet<Fingerprint>,
+    /// Whether the probe is still running.
     is_open: bool,
 }
 
 /// A request in quarantine.
 #[derive(Clone, Copy, Debug)]
-struct Held {
+struct QuarantinedRequest {
     since: Moment,
     trials: u32,
-    /// When it was tried last, or put here.
+    /// Time of the last trial, or else of the quarantine.
     tried_at: Moment,
-    asked_at: Moment,
+    last_requested_at: Moment,
 }
 
-impl Held {
+impl QuarantinedRequest {
     fn next_trial(&self) -> Option<Moment> {
         match self.trials {
             0 => Some(self.tried_at + FIRST_TRIAL_DELAY),
@@ -114,31 +123,34 @@
     }
 }
 
-/// Requests in quarantine, and what is known of those that may have to be.
+/// Requests in quarantine, and the crashes and probes that may add more.
 #[derive(Clone, Debug, Default)]
 pub struct Quarantine {
     log: CrashLog,
-    held: HashMap<Fingerprint, Held>,
-    checks: BTreeMap<TargetStart, Check>,
-    /// Crashes that this process saw itself.
-    own: BTreeSet<TargetStart>,
-    news: Report,
-    lasting: Vec<StoredChange>,
+    entries: HashMap<Fingerprint, QuarantinedRequest>,
+    probes: BTreeMap<TargetStart, Probe>,
+    /// Crashes that this process observed itself.
+    observed: BTreeSet<TargetStart>,
+    updates: Report,
+    stored_changes: Vec<StoredChange>,
 }
 
 impl Quarantine {
-    /// Tells whether all requests may be sent and none of them has to be looked at.
+    /// Returns whether every request may be sent without a further check.
     pub fn is_idle(&self) -> bool {
-        self.held.is_empty() && self.log.is_empty() && self.checks.is_empty()
+        self.entries.is_empty() && self.log.is_empty() && self.probes.is_empty()
     }
 
-    /// Tells whether a request is in quarantine.
+    /// Returns whether a request is in quarantine.
     pub fn contains(&self, request: Fingerprint) -> bool {
-        self.held.contains_key(&request)
+        self.entries.contains_key(&request)
     }
 
-    /// Notes that an attempt that was sent to a start at `sent_at` broke there; tells whether the target is to be looked
-    /// at. What a list that lags tells of is the start that crashed before.
+    /// Records that an attempt, sent at `sent_at`, broke on a target; returns the start to probe,
+    /// if any.
+    ///
+    /// The target list lags: if the listed start crashed before `sent_at`, the attempt ran on the
+    /// next start.
     pub fn record_broken_attempt(
         &mut self,
         listed: &TargetStart,
@@ -151,84 +163,86 @@
         let start = TargetStart { is_next: listed.is_next || is_next, ..listed.clone() };
 
         if self.log.crashed_at(&start).is_some() {
-            self.crashed(&start, now, [request], now);
+            self.add_crash(&start, now, [request], now);
             return None;
         }
 
-        if self.checks.len() >= MAX_CHECKS && !self.checks.contains_key(&start) {
+        if self.probes.len() >= MAX_PROBES && !self.probes.contains_key(&start) {
             return None;
         }
 
-        let is_new = !self.checks.contains_key(&start);
-        let check = self.checks.entry(start.clone()).or_insert_with(|| Check {
+        let is_new = !self.probes.contains_key(&start);
+        let probe = self.probes.entry(start.clone()).or_insert_with(|| Probe {
             at: now,
             runs: BTreeSet::new(),
             is_open: false,
         });
 
-        if !check.is_open && !is_new {
-            check.at = now;
-            check.runs.clear();
+        if !probe.is_open && !is_new {
+            probe.at = now;
+            probe.runs.clear();
         }
 
-        check.runs.insert(request);
-        let is_to_look = !std::mem::replace(&mut check.is_open, true);
+        probe.runs.insert(request);
+        let needs_probe = !std::mem::replace(&mut probe.is_open, true);
 
-        is_to_look.then_some(start)
+        needs_probe.then_some(start)
     }
 
-    /// Notes what a look at a target has shown; tells whether a request has to be decided on after [`DECISION_DELAY`].
-    pub fn record_probe(&mut self, start: &TargetStart, finding: ProbeResult, now: Moment) -> bool {
-        if finding != ProbeResult::Crashed {
-            if let Some(check) = self.checks.get_mut(start) {
-                check.is_open = false;
+    /// Records the result of a probe; returns whether a decision is due after [`DECISION_DELAY`].
+    pub fn record_probe(&mut self, start: &TargetStart, result: ProbeResult, now: Moment) -> bool {
+        if result != ProbeResult::Crashed {
+            if let Some(probe) = self.probes.get_mut(start) {
+                probe.is_open = false;
             }
 
             return false;
         }
 
-        self.note_end(start, now)
+        self.confirm_crash(start, now)
     }
 
-    /// Notes that a target has started again, or is gone: attempts that broke there lately broke by its end.
+    /// Records that a target has restarted or is gone, so it crashed under the attempts that broke
+    /// on it recently; returns whether a decision is due after [`DECISION_DELAY`].
     pub fn record_restart(&mut self, target: &str, now: Moment) -> bool {
-        let is_of = |start: &&TargetStart| start.target == target;
-        let starts: Vec<TargetStart> = self.checks.keys().filter(is_of).cloned().collect();
+        let is_of_target = |start: &&TargetStart| start.target == target;
+        let starts: Vec<TargetStart> = self.probes.keys().filter(is_of_target).cloned().collect();
 
-        let mut decides = false;
+        let mut is_decision_due = false;
 
         for start in &starts {
-            decides |= self.note_end(start, now);
+            is_decision_due |= self.confirm_crash(start, now);
         }
 
-        decides
+        is_decision_due
     }
 
-    /// Notes a target that was found crashed, with the requests that are known to have run there; tells whether a
-    /// request has to be decided on after [`DECISION_DELAY`].
+    /// Records a crash with the requests known to have been running; returns whether a decision is
+    /// due after [`DECISION_DELAY`].
     pub fn record_crash(
         &mut self,
         start: &TargetStart,
         runs: impl IntoIterator<Item = Fingerprint>,
         now: Moment,
     ) -> bool {
-        self.crashed(start, now, runs, now)
+        self.add_crash(start, now, runs, now)
     }
 
-    /// Tells whether some start of a target crashed so lately that it may still be down.
+    /// Returns whether a target crashed so recently that it may still be down.
     pub fn crashed_recently(&self, target: &str, now: Moment) -> bool {
-        self.log.crashed_since(target, now.saturating_sub(DOUBT))
+        self.log.crashed_since(target, now.saturating_sub(RESTART_WINDOW))
     }
 
-    fn note_end(&mut self, start: &TargetStart, now: Moment) -> bool {
-        let Some(check) = self.checks.remove(start).filter(|check| check.at + DOUBT > now) else {
+    fn confirm_crash(&mut self, start: &TargetStart, now: Moment) -> bool {
+        let Some(probe) = self.probes.remove(start).filter(|probe| probe.at + RESTART_WINDOW > now)
+        else {
             return false;
         };
 
-        self.crashed(start, check.at, check.runs, now)
+        self.add_crash(start, probe.at, probe.runs, now)
     }
 
-    fn crashed(
+    fn add_crash(
         &mut self,
         start: &TargetStart,
         at: Moment,
@@ -239,46 +253,46 @@
             return false;
         }
 
-        self.own.insert(start.clone());
+        self.observed.insert(start.clone());
 
         if let Some(crash) = self.log.crash_report(start, now) {
-            let told = |other: &CrashReport| other.start != *start;
-            self.news.crashes.retain(told);
-            self.news.crashes.push(crash);
+            let is_other = |other: &CrashReport| other.start != *start;
+            self.updates.crashes.retain(is_other);
+            self.updates.crashes.push(crash);
         }
 
         self.next_decision(now).is_some()
     }
 
-    /// Notes that a request was answered, so that no crash was its; tells whether it had been in quarantine.
+    /// Records that a request was answered, which clears it; returns whether it was in quarantine.
     pub fn record_answer(&mut self, request: Fingerprint, now: Moment) -> bool {
-        for check in self.checks.values_mut() {
-            check.runs.remove(&request);
+        for probe in self.probes.values_mut() {
+            probe.runs.remove(&request);
         }
 
-        let was_held = self.held.remove(&request).is_some();
+        let was_quarantined = self.entries.remove(&request).is_some();
 
-        // Nearly all answers are to requests that nothing speaks against, and leave nothing behind.
-        if !was_held && !self.log.is_suspected(request) {
+        // Nearly all answers are to requests without suspicion and must not use memory.
+        if !was_quarantined && !self.log.is_suspected(request) {
             return false;
         }
 
         self.log.clear_request(request, now);
-        self.news.cleared.push(ClearedReport { request, age_ms: 0 });
+        self.updates.cleared.push(ClearedReport { request, age_ms: 0 });
 
-        if was_held {
-            self.lasting.push(StoredChange::Released(request));
+        if was_quarantined {
+            self.stored_changes.push(StoredChange::Released(request));
         }
 
-        was_held
+        was_quarantined
     }
 
-    /// Tells whether a request may be sent. [`Quarantine::decide`] goes before it.
+    /// Returns whether a request may be sent. Callers call [`Quarantine::decide`] first.
     pub fn clearance(&mut self, request: Fingerprint, now: Moment) -> Clearance {
-        if let Some(held) = self.held.get_mut(&request) {
-            held.asked_at = now;
+        if let Some(entry) = self.entries.get_mut(&request) {
+            entry.last_requested_at = now;
 
-            return match held.next_trial() {
+            return match entry.next_trial() {
                 Some(at) if at <= now => Clearance::Trial,
                 Some(at) => Clearance::Refuse(at - now),
                 None => Clearance::Refuse(RETENTION),
@@ -291,7 +305,7 @@
             return Clearance::Wait((suspicion.newest + DECISION_DELAY).saturating_sub(now));
         }
 
-        match self.open_checks(request, now) {
+        match self.open_probes(request, now) {
             Some((count, until)) if suspicion.crashes + count >= CRASH_LIMIT => {
                 Clearance::Wait(until - now)
             }
@@ -299,35 +313,37 @@
         }
     }
 
-    /// Takes the trial of a request that is due; tells whether it is this caller's.
+    /// Takes the trial of a request if it is due; returns whether the caller may make it.
     pub fn take_trial(&mut self, request: Fingerprint, now: Moment) -> bool {
-        let Some(held) = self.held.get_mut(&request) else {
+        let Some(entry) = self.entries.get_mut(&request) else {
             return false;
         };
 
-        if held.next_trial().is_none_or(|at| at > now) {
+        if entry.next_trial().is_none_or(|at| at > now) {
             return false;
         }
 
-        held.trials += 1;
-        held.tried_at = now;
-        let held = *held;
-        self.tell_held(request, &held, now);
+        entry.trials += 1;
+        entry.tried_at = now;
+        let entry = *entry;
+        self.publish_entry(request, &entry, now);
         true
     }
 
-    /// Puts requests into quarantine that have to be there; gives them, with how many crashes speak against each.
+    /// Quarantines the requests with enough evidence against them; returns them with their numbers
+    /// of crashes.
     pub fn decide(&mut self, now: Moment) -> Vec<(Fingerprint, usize)> {
         let mut decided = Vec::new();
 
-        // With each one that is decided on, crashes are explained and speak against others no more.
+        // Each quarantined request explains its crashes, which then no longer count against others.
         while let Some((request, suspicion)) = self.most_suspected(now) {
-            let held = Held { since: now, trials: 0, tried_at: now, asked_at: now };
-            self.make_room();
-            self.held.insert(request, held);
+            let entry =
+                QuarantinedRequest { since: now, trials: 0, tried_at: now, last_requested_at: now };
+            self.evict_excess();
+            self.entries.insert(request, entry);
 
-            if self.saw_newest(suspicion) {
-                self.tell_held(request, &held, now);
+            if self.observed_newest(suspicion) {
+                self.publish_entry(request, &entry, now);
             }
 
             decided.push((request, suspicion.crashes));
@@ -336,81 +352,83 @@
         decided
     }
 
-    /// Gets after which time some request has to be decided on.
+    /// Returns the time until the next decision is due, if any.
     pub fn next_decision(&self, now: Moment) -> Option<Duration> {
-        let open =
+        let due =
             self.candidates().into_iter().map(|(_, suspicion)| suspicion.newest + DECISION_DELAY);
 
-        open.min().map(|at| at.saturating_sub(now))
+        due.min().map(|at| at.saturating_sub(now))
     }
 
-    /// Takes in what another process tells; gives requests that are in quarantine since.
+    /// Applies a report of another process; returns the requests that it added to the quarantine.
     pub fn apply_report(&mut self, report: &Report, now: Moment) -> Vec<Fingerprint> {
         let at = |age_ms: u64| now.saturating_sub(Duration::from_millis(age_ms));
 
-        for told in &report.crashes {
-            self.log.record(&told.start, at(told.age_ms), told.runs.iter().copied());
+        for reported in &report.crashes {
+            self.log.record(&reported.start, at(reported.age_ms), reported.runs.iter().copied());
         }
 
-        for told in &report.cleared {
-            let cleared_at = at(told.age_ms);
-            self.log.clear_request(told.request, cleared_at);
+        for reported in &report.cleared {
+            let cleared_at = at(reported.age_ms);
+            self.log.clear_request(reported.request, cleared_at);
 
-            if self.held.get(&told.request).is_some_and(|held| held.since <= cleared_at) {
-                self.held.remove(&told.request);
+            if self.entries.get(&reported.request).is_some_and(|entry| entry.since <= cleared_at) {
+                self.entries.remove(&reported.request);
             }
         }
 
-        let mut taken = Vec::new();
+        let mut added = Vec::new();
 
-        for told in &report.quarantined {
-            if self.take_held(told, at(told.age_ms), at(told.tried_ms)) {
-                taken.push(told.request);
+        for reported in &report.quarantined {
+            if self.apply_quarantined(reported, at(reported.age_ms), at(reported.tried_ms)) {
+                added.push(reported.request);
             }
         }
 
-        taken
+        added
     }
 
-    /// Takes in that a request was in quarantine before this process started.
+    /// Restores a quarantined request from persistent storage at the start of the process.
     pub fn restore(&mut self, request: Fingerprint, trials: u32, now: Moment) {
-        self.make_room();
-        let held = Held { since: now, trials, tried_at: now, asked_at: now };
-        self.held.entry(request).or_insert(held);
+        self.evict_excess();
+        let entry =
+            QuarantinedRequest { since: now, trials, tried_at: now, last_requested_at: now };
+        self.entries.entry(request).or_insert(entry);
     }
 
-    /// Tells whether there is something to tell others, or to keep for later processes.
+    /// Returns whether there are updates to publish or changes to store.
     pub fn has_updates(&self) -> bool {
-        !self.news.is_empty() || !self.lasting.is_empty()
+        !self.updates.is_empty() || !self.stored_changes.is_empty()
     }
 
-    /// Gets the news of this process since this was asked last.
+    /// Removes and returns the updates of this process for other processes.
     pub fn take_updates(&mut self) -> Report {
-        std::mem::take(&mut self.news)
+        std::mem::take(&mut self.updates)
     }
 
-    /// Gets the changes of this process that are to outlast it.
+    /// Removes and returns the changes of this process to write to persistent storage.
     pub fn take_stored_changes(&mut self) -> Vec<StoredChange> {
-        std::mem::take(&mut self.lasting)
+        std::mem::take(&mut self.stored_changes)
     }
 
-    /// Gets all that is known, as it is told to a process that knows something else.
+    /// Returns a full report, for a process with a different digest.
     pub fn snapshot(&self, now: Moment) -> Report {
         let (crashes, cleared) = self.log.snapshot(now);
-        let quarantined = self.held.iter().map(|(request, held)| report(*request, held, now));
+        let quarantined =
+            self.entries.iter().map(|(request, entry)| quarantined_report(*request, entry, now));
 
         Report { crashes, cleared, quarantined: quarantined.collect() }
     }
 
-    /// Gets a digest of all that is known, to compare with another process's.
+    /// Returns a digest of the crashes and the quarantine, to compare with another process.
     pub fn digest(&self) -> u64 {
         let mut writer = DigestWriter::default();
         self.log.digest(&mut writer);
-        let mut held: Vec<(Fingerprint, u32)> =
-            self.held.iter().map(|(request, held)| (*request, held.trials)).collect();
-        held.sort_unstable();
+        let mut entries: Vec<(Fingerprint, u32)> =
+            self.entries.iter().map(|(request, entry)| (*request, entry.trials)).collect();
+        entries.sort_unstable();
 
-        for (request, trials) in held {
+        for (request, trials) in entries {
             writer.update(&request.to_le_bytes());
             writer.update(&trials.to_le_bytes());
         }
@@ -418,63 +436,64 @@
         writer.digest()
     }
 
-    /// Forgets what was long ago.
+    /// Removes expired crashes, probes and quarantined requests.
     pub fn evict_expired(&mut self, now: Moment) {
         self.log.evict_expired(now);
-        self.checks.retain(|_, check| check.at + DOUBT > now);
+        self.probes.retain(|_, probe| probe.at + RESTART_WINDOW > now);
         let log = &self.log;
-        self.own.retain(|start| log.crashed_at(start).is_some());
-        let old: Vec<Fingerprint> = self
-            .held
+        self.observed.retain(|start| log.crashed_at(start).is_some());
+        let expired: Vec<Fingerprint> = self
+            .entries
             .iter()
-            .filter(|(_, held)| held.asked_at + RETENTION < now)
+            .filter(|(_, entry)| entry.last_requested_at + RETENTION < now)
             .map(|(request, _)| *request)
             .collect();
 
-        for request in old {
-            self.held.remove(&request);
-            self.lasting.push(StoredChange::Released(request));
+        for request in expired {
+            self.entries.remove(&request);
+            self.stored_changes.push(StoredChange::Released(request));
         }
     }
 
-    /// Gets the crashes, the suspected requests and those in quarantine that are known.
+    /// Returns the numbers of crashes, suspected requests and quarantined requests.
     pub fn len(&self) -> (usize, usize, usize) {
         let (crashes, suspects) = self.log.len();
 
-        (crashes, suspects, self.held.len())
+        (crashes, suspects, self.entries.len())
     }
 
-    /// Gets the requests in quarantine with their trials.
+    /// Returns the requests in quarantine with their numbers of trials.
     pub fn entries(&self) -> impl Iterator<Item = (Fingerprint, u32)> {
-        self.held.iter().map(|(request, held)| (*request, held.trials))
+        self.entries.iter().map(|(request, entry)| (*request, entry.trials))
     }
 
-    /// Gets the crashes that speak against a request.
+    /// Returns the evidence against a request.
     pub fn suspicion(&self, request: Fingerprint) -> Suspicion {
-        self.log.suspicion(request, |other| self.held.contains_key(&other))
+        self.log.suspicion(request, |other| self.entries.contains_key(&other))
     }
 
-    /// Gets how much longer a target may be looked at on which a request broke.
+    /// Returns the time left for probes of targets on which a request broke, or `None` without any.
     pub fn probe_time_left(&self, request: Fingerprint, now: Moment) -> Option<Duration> {
-        self.open_checks(request, now).map(|(_, until)| until.saturating_sub(now))
+        self.open_probes(request, now).map(|(_, until)| until.saturating_sub(now))
     }
 
-    /// Gets how many targets are looked at on which a request broke, and until when that may take.
-    fn open_checks(&self, request: Fingerprint, now: Moment) -> Option<(usize, Moment)> {
-        let is_open = |check: &&Check| {
-            check.is_open && check.at + PROBE_TIMEOUT > now && check.runs.contains(&request)
+    /// Returns the number of running probes of targets on which a request broke, and their
+    /// deadline.
+    fn open_probes(&self, request: Fingerprint, now: Moment) -> Option<(usize, Moment)> {
+        let is_open = |probe: &&Probe| {
+            probe.is_open && probe.at + PROBE_TIMEOUT > now && probe.runs.contains(&request)
         };
-        let open: Vec<&Check> = self.checks.values().filter(is_open).collect();
-        let until = open.iter().map(|check| check.at + PROBE_TIMEOUT).max()?;
+        let open: Vec<&Probe> = self.probes.values().filter(is_open).collect();
+        let until = open.iter().map(|probe| probe.at + PROBE_TIMEOUT).max()?;
 
         Some((open.len(), until))
     }
 
     fn candidates(&self) -> Vec<(Fingerprint, Suspicion)> {
         let suspects = self.log.repeat_suspects();
-        let judged = suspects.filter(|r| !self.contains(*r)).map(|r| (r, self.suspicion(r)));
+        let suspicions = suspects.filter(|r| !self.contains(*r)).map(|r| (r, self.suspicion(r)));
 
-        judged.filter(|(_, suspicion)| suspicion.crashes >= CRASH_LIMIT).collect()
+        suspicions.filter(|(_, suspicion)| suspicion.crashes >= CRASH_LIMIT).collect()
     }
 
     fn most_suspected(&self, now: Moment) -> Option<(Fingerprint, Suspicion)> {
@@ -485,55 +504,70 @@
         settled.max_by_key(|(request, suspicion)| (suspicion.crashes, *request))
     }
 
-    /// Tells whether this process saw the crash that decided. It is the one that makes it last.
-    fn saw_newest(&self, suspicion: Suspicion) -> bool {
-        self.own.iter().any(|start| self.log.crashed_at(start) == Some(suspicion.newest))
+    /// Returns whether this process observed the deciding crash. If so, it is the one that
+    /// publishes and stores the quarantine.
+    fn observed_newest(&self, suspicion: Suspicion) -> bool {
+        self.observed.iter().any(|start| self.log.crashed_at(start) == Some(suspicion.newest))
     }
 
-    fn tell_held(&mut self, request: Fingerprint, held: &Held, now: Moment) {
-        self.news.quarantined.push(report(request, held, now));
-        self.lasting.push(StoredChange::Quarantined(request, held.trials));
+    fn publish_entry(&mut self, request: Fingerprint, entry: &QuarantinedRequest, now: Moment) {
+        self.updates.quarantined.push(quarantined_report(request, entry, now));
+        self.stored_changes.push(StoredChange::Quarantined(request, entry.trials));
     }
 
-    fn take_held(&mut self, told: &QuarantinedReport, since: Moment, tried_at: Moment) -> bool {
-        if self.log.is_cleared_since(told.request, since) {
+    fn apply_quarantined(
+        &mut self,
+        reported: &QuarantinedReport,
+        since: Moment,
+        tried_at: Moment,
+    ) -> bool {
+        if self.log.is_cleared_since(reported.request, since) {
             return false;
         }
 
-        if let Some(held) = self.held.get_mut(&told.request) {
-            if held.trials < told.trials {
-                held.trials = told.trials;
-                held.tried_at = tried_at;
+        if let Some(entry) = self.entries.get_mut(&reported.request) {
+            if entry.trials < reported.trials {
+                entry.trials = reported.trials;
+                entry.tried_at = tried_at;
             }
 
             return false;
         }
 
-        self.make_room();
-        let held = Held { since, trials: told.trials, tried_at, asked_at: tried_at };
-        self.held.insert(told.request, held);
+        self.evict_excess();
+        let entry = QuarantinedRequest {
+            since,
+            trials: reported.trials,
+            tried_at,
+            last_requested_at: tried_at,
+        };
+        self.entries.insert(reported.request, entry);
         true
     }
 
-    fn make_room(&mut self) {
-        if self.held.len() < MAX_QUARANTINED {
+    fn evict_excess(&mut self) {
+        if self.entries.len() < MAX_QUARANTINED {
             return;
         }
 
-        let oldest = self.held.iter().min_by_key(|(_, held)| held.asked_at);
+        let oldest = self.entries.iter().min_by_key(|(_, entry)| entry.last_requested_at);
 
         if let Some(request) = oldest.map(|(request, _)| *request) {
-            self.held.remove(&request);
-            self.lasting.push(StoredChange::Released(request));
+            self.entries.remove(&request);
+            self.stored_changes.push(StoredChange::Released(request));
         }
     }
 }
 
-fn report(request: Fingerprint, held: &Held, now: Moment) -> QuarantinedReport {
+fn quarantined_report(
+    request: Fingerprint,
+    entry: &QuarantinedRequest,
+    now: Moment,
+) -> QuarantinedReport {
     QuarantinedReport {
         request,
-        age_ms: age_ms(held.since, now),
-        trials: held.trials,
-        tried_ms: age_ms(held.tried_at, now),
+        age_ms: age_ms(entry.since, now),
+        trials: entry.trials,
+        tried_ms: age_ms(entry.tried_at, now),
     }
 }
