--- a/grebedeck-routing/tests/caution.rs
+++ b/grebedeck-routing/tests/caution.rs
@@ -1,4 +1,4 @@
-//! Who is held back after a single crash.
+//! Which requests get a cooldown after a single crash.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
     Duration::from_millis(ms)
 }
 
-/// Lets requests run under the crash of a target.
+/// Crashes a target while the given requests run on it.
 fn crash(quarantine: &mut Quarantine, target: &str, runs: &[u128], now: Duration) {
     let start = TargetStart::listed(target, Some(1));
 
@@ -22,43 +22,43 @@
 }
 
 #[test]
-fn what_ran_under_a_crash_is_held_back_for_a_while() {
-    let (mut quarantine, caution) = (Quarantine::default(), CrashCooldown::default());
+fn requests_running_during_a_crash_get_a_cooldown() {
+    let (mut quarantine, cooldown) = (Quarantine::default(), CrashCooldown::default());
     crash(&mut quarantine, "t0", &[1, 2], ms(0));
-    let left = |request, now| caution.remaining(request, quarantine.suspicion(request), now);
+    let remaining = |request, now| cooldown.remaining(request, quarantine.suspicion(request), now);
 
-    assert_eq!(left(1, ms(0)), Some(COOLDOWN));
-    assert_eq!(left(2, ms(10_000)), Some(COOLDOWN - ms(10_000)));
-    assert_eq!(left(3, ms(0)), None, "it did not run there");
-    assert_eq!(left(1, COOLDOWN), None);
+    assert_eq!(remaining(1, ms(0)), Some(COOLDOWN));
+    assert_eq!(remaining(2, ms(10_000)), Some(COOLDOWN - ms(10_000)));
+    assert_eq!(remaining(3, ms(0)), None, "request 3 was not running on the target");
+    assert_eq!(remaining(1, COOLDOWN), None);
 }
 
 #[test]
-fn what_is_asked_often_and_answered_is_not_held_back() {
-    let (mut quarantine, mut caution) = (Quarantine::default(), CrashCooldown::default());
-    caution.record_answer(2);
+fn recently_answered_requests_get_no_cooldown() {
+    let (mut quarantine, mut cooldown) = (Quarantine::default(), CrashCooldown::default());
+    cooldown.record_answer(2);
     crash(&mut quarantine, "t0", &[1, 2], ms(0));
 
-    assert_eq!(caution.remaining(2, quarantine.suspicion(2), ms(1)), None);
-    assert!(caution.remaining(1, quarantine.suspicion(1), ms(1)).is_some());
+    assert_eq!(cooldown.remaining(2, quarantine.suspicion(2), ms(1)), None);
+    assert!(cooldown.remaining(1, quarantine.suspicion(1), ms(1)).is_some());
 }
 
-/// One failure: several targets lose their power in the same moment.
+/// Several targets lose power within 100 ms: the crash of one explains the crash of the other.
 #[test]
-fn a_loss_of_power_holds_nobody_back() {
-    let (mut quarantine, caution) = (Quarantine::default(), CrashCooldown::default());
+fn a_loss_of_power_causes_no_cooldown() {
+    let (mut quarantine, cooldown) = (Quarantine::default(), CrashCooldown::default());
     crash(&mut quarantine, "t0", &[1], ms(0));
     crash(&mut quarantine, "t1", &[2], ms(40));
 
     for request in [1, 2] {
-        assert_eq!(caution.remaining(request, quarantine.suspicion(request), ms(100)), None);
+        assert_eq!(cooldown.remaining(request, quarantine.suspicion(request), ms(100)), None);
     }
 }
 
 #[test]
-fn only_what_was_answered_lately_is_remembered() {
-    let mut caution = CrashCooldown::default();
-    (0..10_000).for_each(|request| caution.record_answer(request));
+fn only_recent_answers_are_remembered() {
+    let mut cooldown = CrashCooldown::default();
+    (0..10_000).for_each(|request| cooldown.record_answer(request));
 
-    assert!(caution.was_answered_recently(9_999) && !caution.was_answered_recently(0));
+    assert!(cooldown.was_answered_recently(9_999) && !cooldown.was_answered_recently(0));
 }
--- a/grebedeck-routing/tests/decisions.rs
+++ b/grebedeck-routing/tests/decisions.rs
@@ -1,4 +1,4 @@
-//! Retries, health, admission, homes and choice.
+//! Attempts, retry budget, health, admission, key homes, choice of target and subsets.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn only_what_certainly_did_not_run_is_retried_if_it_may_not_be_repeated() {
+fn a_non_repeatable_request_is_retried_only_if_it_certainly_did_not_run() {
     let once = || AttemptTracker::new(traits(false, false));
 
     assert_eq!(once().record_end(AttemptEnd::NotSent, || true), Next::Retry);
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn not_run_is_never_told_after_an_attempt_that_may_have_run() {
+fn not_run_is_never_reported_after_an_attempt_that_may_have_run() {
     let mut tracker = AttemptTracker::new(traits(true, false));
 
     assert_eq!(tracker.record_end(AttemptEnd::Lost, || true), Next::Retry);
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn a_keyed_request_whose_home_said_nothing_of_the_key_is_unknown() {
+fn a_keyed_request_is_unknown_if_its_home_did_not_check_the_key() {
     for end in
         [AttemptEnd::NotSent, AttemptEnd::Struck, AttemptEnd::Refused(Reason::StaleIncarnation)]
     {
@@ -72,36 +72,36 @@
 }
 
 #[test]
-fn attempts_end_at_their_limit_and_the_budget_is_asked_only_where_it_matters() {
+fn attempts_are_limited_and_the_budget_is_checked_only_if_a_retry_is_possible() {
     let mut tracker = AttemptTracker::new(traits(true, false));
-    let mut asked = 0;
+    let mut checks = 0;
 
     for _ in 0..10 {
         tracker.record_end(AttemptEnd::NotSent, || {
-            asked += 1;
+            checks += 1;
             true
         });
     }
 
-    assert_eq!(asked, MAX_ATTEMPTS - 1);
+    assert_eq!(checks, MAX_ATTEMPTS - 1);
 }
 
 #[test]
 fn retries_stay_at_a_tenth_of_first_attempts() {
     let mut budget = RetryBudget::new(RetryOptions::default());
-    let taken = (0..10_000)
+    let retries = (0..10_000)
         .filter(|_| {
             budget.deposit();
             budget.try_withdraw()
         })
         .count();
 
-    assert!(taken <= 1_021, "{taken}");
-    assert!(taken >= 1_000, "{taken}");
+    assert!(retries <= 1_021, "{retries}");
+    assert!(retries >= 1_000, "{retries}");
 }
 
 #[test]
-fn a_failing_target_is_put_aside_for_longer_each_time_and_comes_back_by_trials() {
+fn a_failing_target_is_ejected_for_longer_each_time_and_recovers_by_probes() {
     let options = HealthOptions::default();
     let mut health = Health::default();
     let at = Duration::from_secs;
@@ -112,8 +112,8 @@
     assert!(health.is_usable(at(1)));
 
     health.record_sent();
-    assert!(!health.is_usable(at(1)), "one trial at a time");
-    assert!(health.record_failure(at(1), &options), "a failed trial puts it aside again");
+    assert!(!health.is_usable(at(1)), "one probe at a time");
+    assert!(health.record_failure(at(1), &options), "a failed probe ejects the target again");
     assert!(!health.is_usable(at(1) + options.first_ejection));
 
     health.record_success(&options);
@@ -128,22 +128,25 @@
 }
 
 #[test]
-fn a_loud_organisation_is_held_to_its_share_and_others_get_in() {
+fn a_noisy_organisation_is_limited_to_its_share_and_others_are_admitted() {
     let options = AdmissionOptions { max_in_flight: 100, ..AdmissionOptions::default() };
     let mut admission = Admission::new(options);
-    let loud = (0..1_000).filter(|_| admission.enter("loud", false).is_ok()).count();
-    assert_eq!(loud, 100, "alone it may use everything");
+    let noisy = (0..1_000).filter(|_| admission.enter("noisy", false).is_ok()).count();
+    assert_eq!(noisy, 100, "alone it may use everything");
 
     for _ in 0..25 {
-        admission.leave("loud");
+        admission.leave("noisy");
     }
 
     let quiet = (0..20).filter(|_| admission.enter("quiet", false).is_ok()).count();
     assert_eq!(quiet, 20);
-    assert!(admission.enter("loud", false).is_err(), "over its share while others wait");
+    assert!(
+        admission.enter("noisy", false).is_err(),
+        "over its share while another organisation is active"
+    );
 
     for _ in 0..75 {
-        admission.leave("loud");
+        admission.leave("noisy");
     }
 
     for _ in 0..20 {
@@ -154,24 +157,24 @@
 }
 
 #[test]
-fn while_targets_are_full_only_the_loud_are_refused() {
+fn while_targets_are_full_only_noisy_organisations_are_refused() {
     let mut admission = Admission::new(AdmissionOptions::default());
 
     for _ in 0..90 {
-        assert!(admission.enter("loud", true).is_ok(), "alone it may use everything");
+        assert!(admission.enter("noisy", true).is_ok(), "alone it may use everything");
     }
 
     assert!(admission.enter("quiet", true).is_ok());
-    assert!(admission.enter("loud", true).is_err());
-    assert!(admission.enter("loud", false).is_ok(), "a free place is anybody's");
+    assert!(admission.enter("noisy", true).is_err());
+    assert!(admission.enter("noisy", false).is_ok(), "any organisation may take a free slot");
     assert!((0..10).all(|_| admission.enter("quiet", true).is_ok()), "{admission:?}");
 }
 
 #[test]
-fn a_home_stays_when_other_targets_come_and_is_in_doubt_where_it_moved() {
+fn a_home_stays_when_targets_are_added_and_is_in_doubt_if_it_moved() {
     let margin = Duration::from_secs(20);
     let (old, new) = (routes(10), routes(11));
-    let lists = |issued: u64, n: u128| {
+    let home_of = |issued: u64, n: u128| {
         let key = Key {
             digest: n.wrapping_mul(0x9e37_79b9_7f4a_7c15_f39c),
             issued_unix_ms: Some(issued),
@@ -184,12 +187,13 @@
         find_home(list.into_iter(), &key, margin).map(|r| r.name.clone())
     };
 
-    // Issued long after the change, every key has a home; about one in eleven has moved.
-    assert!((0..500).all(|n| lists(1_100_000, n).is_ok()));
-    let doubtful = (0..500).filter(|n| lists(1_010_000, *n).is_err()).count();
-    assert!((20..=80).contains(&doubtful), "{doubtful}");
-    // Before the oldest list, nothing is known.
-    assert!((0..500).all(|n| lists(5, n).is_err()));
+    // Every key issued long after the change has a certain home. Of the keys issued within the
+    // margin, about one in eleven has moved.
+    assert!((0..500).all(|n| home_of(1_100_000, n).is_ok()));
+    let in_doubt = (0..500).filter(|n| home_of(1_010_000, *n).is_err()).count();
+    assert!((20..=80).contains(&in_doubt), "{in_doubt}");
+    // No home is certain for a key that is older than the oldest list.
+    assert!((0..500).all(|n| home_of(5, n).is_err()));
 }
 
 #[test]
@@ -208,15 +212,15 @@
         chooser.record_end("target-002", Some(false), now);
     }
 
-    let mut pick = |avoid: &[String]| {
+    let mut choose = |avoid: &[String]| {
         chooser.choose(&all, avoid, now, &mut random).map(|r| r.name.clone()).unwrap()
     };
-    assert!((0..50).all(|_| pick(&[]) == "target-003"));
-    assert!((0..50).all(|_| pick(&["target-003".to_string()]) == "target-000"));
+    assert!((0..50).all(|_| choose(&[]) == "target-003"));
+    assert!((0..50).all(|_| choose(&["target-003".to_string()]) == "target-000"));
 }
 
 #[test]
-fn when_nearly_all_look_bad_all_are_used() {
+fn all_targets_are_used_when_nearly_all_look_unhealthy() {
     let all = routes(10);
     let mut chooser = Chooser::new("hall-0", ChooserOptions::default());
     let mut random = SeededSource::new(4);
@@ -229,27 +233,27 @@
         }
     }
 
-    let mut picked: HashMap<String, u32> = HashMap::new();
+    let mut chosen: HashMap<String, u32> = HashMap::new();
 
     for _ in 0..500 {
         let route = chooser.choose(&all, &[], now, &mut random).unwrap();
-        *picked.entry(route.name.clone()).or_insert(0) += 1;
+        *chosen.entry(route.name.clone()).or_insert(0) += 1;
     }
 
-    assert!(picked.len() >= 8, "{picked:?}");
+    assert!(chosen.len() >= 8, "{chosen:?}");
 }
 
 #[test]
-fn subsets_spread_entries_evenly_and_prefer_their_own_hall() {
+fn subsets_spread_entries_evenly_and_split_between_halls() {
     let all = routes(60);
     let mut used: HashMap<String, u32> = HashMap::new();
 
     for entry in 0..400 {
         let options = SubsetOptions { size: 12, in_other_halls: 6 };
-        let part = subset(&all, &format!("entry-{entry}"), "hall-1", options);
-        assert_eq!(part.len(), 12);
-        assert_eq!(part.iter().filter(|r| r.hall == "hall-1").count(), 6);
-        part.iter().for_each(|r| *used.entry(r.name.clone()).or_insert(0) += 1);
+        let targets = subset(&all, &format!("entry-{entry}"), "hall-1", options);
+        assert_eq!(targets.len(), 12);
+        assert_eq!(targets.iter().filter(|r| r.hall == "hall-1").count(), 6);
+        targets.iter().for_each(|r| *used.entry(r.name.clone()).or_insert(0) += 1);
     }
 
     assert!(used.values().all(|n| *n > 25), "{used:?}");
