--- a/grebedeck-routing/src/lib.rs
+++ b/grebedeck-routing/src/lib.rs
@@ -9,8 +9,8 @@
 
 pub mod admission;
 pub mod attempt;
-pub mod caution;
 pub mod choice;
+pub mod cooldown;
 pub mod crashes;
 pub mod fingerprint;
 pub mod gate;
@@ -24,8 +24,8 @@
 
 pub use admission::{Admission, AdmissionOptions};
 pub use attempt::{AttemptEnd, AttemptTracker, Next, RequestTraits};
-pub use caution::CrashCooldown;
 pub use choice::{Candidate, Chooser, ChooserOptions, LoadReport, LoadView, StartId};
+pub use cooldown::CrashCooldown;
 pub use crashes::{CrashLog, TargetStart};
 pub use fingerprint::{Fingerprint, Identity};
 pub use gate::{Gate, GateOptions, StartRequest, StrikeAnswer, Verdict};
--- a/grebedeck-routing/tests/caution.rs
+++ b/grebedeck-routing/tests/cooldown.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use grebedeck_routing::caution::{COOLDOWN, CrashCooldown};
+use grebedeck_routing::cooldown::{COOLDOWN, CrashCooldown};
 use grebedeck_routing::quarantine::ProbeResult;
 use grebedeck_routing::{Quarantine, TargetStart};
 
