--- a/grebedeck-routing/src/lib.rs
+++ b/grebedeck-routing/src/lib.rs
@@ -2,8 +2,8 @@
 //!
 //! The crate does no I/O and reads no clock; callers pass in the time. Entries, which accept
 //! requests from callers, use [`Chooser`], [`Admission`], [`RetryBudget`] and [`AttemptTracker`].
-//! The agent, which runs beside each target, uses [`Gate`]. Entries and gateways use
-//! [`Quarantine`].
+//! Gateways use [`Chooser`] and [`CrashCooldown`]. The agent, which runs beside each target, uses
+//! [`Gate`]. Entries and gateways use [`Quarantine`].
 
 #![forbid(unsafe_code)]
 
