--- a/grebedeck-gateway/src/limit.rs
+++ b/grebedeck-gateway/src/limit.rs
@@ -15,7 +15,7 @@
 use std::time::Duration;
 
 use grebedeck_core::Moment;
-use grebedeck_routing::Birth;
+use grebedeck_routing::StartId;
 
 use crate::quota::{QuotaDemand, QuotaGrant};
 use crate::targets::{TargetEntry, TargetId};
@@ -101,7 +101,7 @@
 /// A gateway's state of one start of a target.
 #[derive(Clone, Debug, Default)]
 struct LimitState {
-    birth: Birth,
+    birth: StartId,
     per_s: Option<RatePerS>,
     /// When the limit or its end was last learned of.
     learned_at: Option<LearnedAt>,
--- a/grebedeck-gateway/src/quota.rs
+++ b/grebedeck-gateway/src/quota.rs
@@ -20,7 +20,7 @@
 use std::time::Duration;
 
 use grebedeck_core::{Moment, RandomSource};
-use grebedeck_routing::Birth;
+use grebedeck_routing::StartId;
 use serde::{Deserialize, Serialize};
 
 use crate::coordinator::GatewayAddress;
@@ -92,7 +92,7 @@
     /// The target.
     pub target: TargetId,
     /// The start of the target that this is about.
-    pub birth: Birth,
+    pub birth: StartId,
     /// The limit that it announced last to this gateway; `None` if it has none.
     pub limit: Option<RatePerS>,
     /// Time since this gateway learned that.
@@ -110,7 +110,7 @@
     /// The target.
     pub target: TargetId,
     /// The start of the target that this is about.
-    pub birth: Birth,
+    pub birth: StartId,
     /// The limit that it announced last to any gateway; `None` if it has none.
     pub limit: Option<RatePerS>,
     /// Time since that gateway learned it.
@@ -279,9 +279,9 @@
 /// A coordinator's accounts of all targets that gateways request permits for.
 #[derive(Clone, Debug, Default)]
 pub struct QuotaLedger {
-    accounts: BTreeMap<(TargetId, Birth), Account>,
+    accounts: BTreeMap<(TargetId, StartId), Account>,
     /// Targets whose limit began or ended, until the notification is sent.
-    changed: BTreeSet<(TargetId, Birth)>,
+    changed: BTreeSet<(TargetId, StartId)>,
 }
 
 impl QuotaLedger {
--- a/grebedeck-routing/src/lib.rs
+++ b/grebedeck-routing/src/lib.rs
@@ -1,14 +1,16 @@
-//! Decisions on requests: choice of target, limits, retries, and running a request at most once.
+//! Routing decisions: choice of target, admission, retries, at-most-once execution and quarantine.
 //!
-//! All of it is pure. The entry drives [`Chooser`], [`Admission`], [`RetryBudget`] and
-//! [`AttemptTracker`]; the agent drives [`Gate`]. Entries and gateways drive [`Quarantine`].
+//! The crate does no I/O and reads no clock; callers pass in the time. Entries, which accept
+//! requests from callers, use [`Chooser`], [`Admission`], [`RetryBudget`] and [`AttemptTracker`].
+//! Gateways use [`Chooser`] and [`CrashCooldown`]. The agent, which runs beside each target, uses
+//! [`Gate`]. Entries and gateways use [`Quarantine`].
 
 #![forbid(unsafe_code)]
 
 pub mod admission;
 pub mod attempt;
-pub mod caution;
 pub mod choice;
+pub mod cooldown;
 pub mod crashes;
 pub mod fingerprint;
 pub mod gate;
@@ -22,11 +24,11 @@
 
 pub use admission::{Admission, AdmissionOptions};
 pub use attempt::{AttemptEnd, AttemptTracker, Next, RequestTraits};
-pub use caution::Caution;
-pub use choice::{Birth, Candidate, Chooser, ChooserOptions, LoadReport, LoadView};
+pub use choice::{Candidate, Chooser, ChooserOptions, LoadReport, LoadView, StartId};
+pub use cooldown::CrashCooldown;
 pub use crashes::{CrashLog, TargetStart};
 pub use fingerprint::{Fingerprint, Identity};
-pub use gate::{Gate, GateOptions, Start, StrikeAnswer, Verdict};
+pub use gate::{Gate, GateOptions, StartRequest, StrikeAnswer, Verdict};
 pub use health::{Health, HealthOptions};
 pub use home::{AllowedSince, find_home};
 pub use key::{Key, KeyDigest};
