--- a/grebedeck-experts/benches/search.rs
+++ b/grebedeck-experts/benches/search.rs
@@ -27,7 +27,7 @@
     let mut random = SeededSource::new(3);
     let popularity: Vec<Vec<f32>> = (0..SETS).map(|_| popularity(&mut random)).collect();
     let costs = vec![1.0; usize::from(RANKS)];
-    let first = Placement::dealt(RANKS, SETS, EXPERTS);
+    let first = Placement::round_robin(RANKS, SETS, EXPERTS);
     let options = AssignOptions {
         places: 3,
         max_new: 2,
--- a/grebedeck-experts/src/engine.rs
+++ b/grebedeck-experts/src/engine.rs
@@ -19,7 +19,7 @@
 /// Number of a placement; an engine takes only higher ones than it has had.
 pub type PlacementNo = u64;
 /// The placement that every formation of a group starts with, whose experts are dealt in turn.
-pub const DEALT_PLACEMENT: PlacementNo = 0;
+pub const INITIAL_PLACEMENT: PlacementNo = 0;
 /// Number of the group's formation.
 pub type GroupEpoch = u64;
 
@@ -105,7 +105,7 @@
 
 /// What became of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum OrderEnd {
+pub enum OrderOutcome {
     /// It was taken, or is in effect already.
     Taken,
     /// The engine's state does not allow it; it will not be carried out.
@@ -142,5 +142,5 @@
     fn part(&self) -> impl Future<Output = Result<(PlacementNo, Vec<Vec<Expert>>)>>;
 
     /// Gives an order. Fails where the engine has certainly not taken it, as it wants to be left alone.
-    fn order(&self, order: &RankOrder) -> impl Future<Output = Result<OrderEnd>>;
+    fn order(&self, order: &RankOrder) -> impl Future<Output = Result<OrderOutcome>>;
 }
--- a/grebedeck-experts/src/lib.rs
+++ b/grebedeck-experts/src/lib.rs
@@ -21,7 +21,7 @@
 pub mod switch;
 
 pub use balancer::{Balancer, BalancerOptions, CountReport};
-pub use engine::{Armed, OrderEnd, RankAction, RankCounts, RankEngine, RankOrder, RankReport};
+pub use engine::{Armed, OrderOutcome, RankAction, RankCounts, RankEngine, RankOrder, RankReport};
 pub use map::{ExpertMap, LayerMap, MapDelta, Move, Replica};
 pub use placement::Placement;
 pub use plan::{ChangeBudget, Plan, PlanOptions, Planner};
--- a/grebedeck-experts/src/placement.rs
+++ b/grebedeck-experts/src/placement.rs
@@ -54,7 +54,7 @@
     }
 
     /// Makes the placement that engines start with: experts are dealt to the ranks in turn.
-    pub fn dealt(ranks: Rank, sets: usize, experts: Expert) -> Self {
+    pub fn round_robin(ranks: Rank, sets: usize, experts: Expert) -> Self {
         let held_by = |rank: Rank| (rank..experts).step_by(usize::from(ranks)).collect();
         let set: SetPlacement = (0..ranks).map(held_by).collect();
 
@@ -115,20 +115,20 @@
 }
 
 /// Gets the number of ranks that hold each expert.
-pub fn holders(set: &SetPlacement, experts: usize) -> Vec<u32> {
-    let mut holders = vec![0; experts];
+pub fn replica_counts(set: &SetPlacement, experts: usize) -> Vec<u32> {
+    let mut replica_counts = vec![0; experts];
 
     for expert in set.iter().flatten() {
-        holders[usize::from(*expert)] += 1;
+        replica_counts[usize::from(*expert)] += 1;
     }
 
-    holders
+    replica_counts
 }
 
 /// Gets the time of each rank, for the experts' popularity and the ranks' costs.
 pub fn rank_times(set: &SetPlacement, popularity: &[f32], costs: &[f32]) -> Vec<f32> {
-    let holders = holders(set, popularity.len());
-    let share = |e: &Expert| popularity[usize::from(*e)] / holders[usize::from(*e)] as f32;
+    let replica_counts = replica_counts(set, popularity.len());
+    let share = |e: &Expert| popularity[usize::from(*e)] / replica_counts[usize::from(*e)] as f32;
     let load = |held: &Vec<Expert>| held.iter().map(share).sum::<f32>();
 
     set.iter().zip(costs).map(|(held, cost)| load(held) * cost).collect()
--- a/grebedeck-experts/src/rollout.rs
+++ b/grebedeck-experts/src/rollout.rs
@@ -40,7 +40,7 @@
 mod passes;
 mod tell;
 
-pub use action::{Action, RankNote};
+pub use action::{Action, RankEvent};
 pub use lead::PlanBlock;
 pub use message::{
     Changeover, ChangeoverAnswer, ChangeoverStep, Directive, Message, RankPart, Stage, Status, Term,
--- a/grebedeck-experts/src/rollout/absent.rs
+++ b/grebedeck-experts/src/rollout/absent.rs
@@ -9,7 +9,7 @@
 
 use grebedeck_core::{Moment, Rank};
 
-use super::action::{Action, RankNote};
+use super::action::{Action, RankEvent};
 use super::lead::{Lead, Plan};
 use super::message::Status;
 use super::node::Node;
@@ -113,8 +113,8 @@
         if lead.help.rank != absent {
             let before =
                 std::mem::replace(&mut lead.help, Help { rank: absent, ..Help::default() });
-            let ends = before.rank.map(|rank| Action::Note(RankNote::ActsForNoMore { rank }));
-            let begins = absent.map(|rank| Action::Note(RankNote::ActsFor { rank }));
+            let ends = before.rank.map(|rank| Action::Event(RankEvent::RemoteAccessEnded { rank }));
+            let begins = absent.map(|rank| Action::Event(RankEvent::RemoteAccessStarted { rank }));
             actions.extend(ends.into_iter().chain(begins));
         }
 
@@ -123,11 +123,11 @@
         };
 
         let is_at_rest = matches!(lead.plan, Plan::Idle) && lead.first_bound(own) != Some(rank);
-        let read_pause = if is_at_rest { IDLE_READ_PAUSE } else { options.order_pause };
+        let read_pause = if is_at_rest { IDLE_READ_PAUSE } else { options.order_retry_delay };
 
         if lead.help.asked_at.is_none_or(|at| now >= at + read_pause) {
             lead.help.asked_at = Some(now);
-            actions.push(Action::Ask { rank });
+            actions.push(Action::ReadReport { rank });
         }
 
         let Plan::Prepare { placement_no, .. } = lead.plan else {
--- a/grebedeck-experts/src/rollout/action.rs
+++ b/grebedeck-experts/src/rollout/action.rs
@@ -25,47 +25,47 @@
         order: RankOrder,
     },
     /// Read what another rank's engine says.
-    Ask {
+    ReadReport {
         /// The rank.
         rank: Rank,
     },
     /// Read which experts the own engine holds.
     ReadPart,
     /// Something that operators may want to know.
-    Note(RankNote),
+    Event(RankEvent),
 }
 
 /// What a node has decided or found, for logs.
 #[derive(Clone, Debug, PartialEq)]
-pub enum RankNote {
+pub enum RankEvent {
     /// It takes the lead.
-    Leads(Term),
+    LeadershipTaken(Term),
     /// It gives the lead up, as the process is to stop.
-    Resigns {
+    Resigned {
         /// The rank that it calls on.
         next: Rank,
     },
     /// It goes on with what the leader before it wanted.
-    CarriesOn {
+    PlanResumed {
         /// The placement.
         placement_no: PlacementNo,
     },
     /// It has a rank's engine read and prepared from afar, as its process is away.
-    ActsFor {
+    RemoteAccessStarted {
         /// The rank.
         rank: Rank,
     },
     /// It does so no more.
-    ActsForNoMore {
+    RemoteAccessEnded {
         /// The rank.
         rank: Rank,
     },
     /// It follows a leader.
-    Follows(Term),
+    LeaderFollowed(Term),
     /// The group has formed anew; all plans are void.
-    NewEpoch(u64),
+    EpochChanged(u64),
     /// All ranks have copied a placement's weights; a pass is to be held.
-    Holding {
+    HoldRequested {
         /// The placement.
         placement_no: PlacementNo,
         /// The pass.
@@ -74,26 +74,26 @@
         holder: Rank,
     },
     /// The placement is in use.
-    InUse {
+    PlacementInUse {
         /// The placement.
         placement_no: PlacementNo,
         /// The first pass with it.
         pass: PassNo,
     },
     /// A plan was given up before any rank was armed.
-    GivenUp {
+    PlanAbandoned {
         /// The placement.
         placement_no: PlacementNo,
         /// Why.
         reason: &'static str,
     },
     /// The own engine holds a pass that the node has no memory of.
-    Recovers {
+    HeldPassFound {
         /// The pass.
         pass: PassNo,
     },
     /// A held pass was let go.
-    Released {
+    PassReleased {
         /// The pass.
         pass: PassNo,
         /// The placement that every rank was armed for, if any.
--- a/grebedeck-experts/src/rollout/changeover.rs
+++ b/grebedeck-experts/src/rollout/changeover.rs
@@ -214,9 +214,9 @@
             Phase::Release => self.let_go(now, options, &mut actions),
         }
 
-        let insist = options.for_all(options.insist, self.size);
+        let changeover_retry_delay = options.for_all(options.changeover_retry_delay, self.size);
 
-        if self.told_at.is_none_or(|at| now >= at + insist) {
+        if self.told_at.is_none_or(|at| now >= at + changeover_retry_delay) {
             let missing = self.told_at.map(|_| self.missing());
             self.told_at = Some(now);
 
@@ -260,7 +260,7 @@
             }
             // Nobody is armed yet, so a node that is silent costs nothing but this plan.
             Phase::Ready(_)
-                if now >= self.since + options.for_all(options.ready_limit, self.size) =>
+                if now >= self.since + options.for_all(options.ready_timeout, self.size) =>
             {
                 self.set_phase(Phase::Release, now);
             }
@@ -370,7 +370,7 @@
 
     /// Reads the engines of nodes that do not answer.
     fn ask_silent(&mut self, now: Moment, options: &NodeOptions, actions: &mut Vec<HoldingAction>) {
-        if now < self.since + options.for_all(options.help_after, self.size) {
+        if now < self.since + options.for_all(options.remote_access_delay, self.size) {
             return;
         }
 
@@ -389,7 +389,7 @@
         options: &NodeOptions,
         actions: &mut Vec<HoldingAction>,
     ) {
-        let is_late = now >= self.since + options.for_all(options.help_after, self.size);
+        let is_late = now >= self.since + options.for_all(options.remote_access_delay, self.size);
 
         for rank in 0..self.size {
             let is_due = rank == self.own || is_late;
@@ -402,7 +402,7 @@
     }
 
     fn let_go(&mut self, now: Moment, options: &NodeOptions, actions: &mut Vec<HoldingAction>) {
-        if self.released_at.is_none_or(|at| now >= at + options.order_pause) {
+        if self.released_at.is_none_or(|at| now >= at + options.order_retry_delay) {
             self.released_at = Some(now);
             let action = RankAction::Release { pass: self.pass };
             let order = RankOrder { epoch: self.epoch, action };
@@ -411,7 +411,8 @@
     }
 
     fn may_help(&mut self, rank: Rank, now: Moment, options: &NodeOptions) -> bool {
-        let is_due = self.helped_at.get(&rank).is_none_or(|at| now >= *at + options.order_pause);
+        let is_due =
+            self.helped_at.get(&rank).is_none_or(|at| now >= *at + options.order_retry_delay);
 
         if is_due {
             self.helped_at.insert(rank, now);
--- a/grebedeck-experts/src/rollout/claim.rs
+++ b/grebedeck-experts/src/rollout/claim.rs
@@ -5,13 +5,13 @@
 
 use grebedeck_core::{Expert, Moment, Rank};
 
-use super::action::{Action, RankNote};
+use super::action::{Action, RankEvent};
 use super::lead::{Lead, Plan};
 use super::message::{Message, Stage, Term};
 use super::node::Node;
 use super::options::NodeOptions;
 use super::tell::NAMED_RANKS;
-use crate::engine::{DEALT_PLACEMENT, PlacementNo, RankReport};
+use crate::engine::{INITIAL_PLACEMENT, PlacementNo, RankReport};
 use crate::placement::{Placement, RankChange};
 
 /// Doublings of the wait of a node that lost the lead again and again: the words of a leader that is heard badly then
@@ -27,7 +27,7 @@
         changes: Vec<RankChange>,
         now: Moment,
     ) {
-        let (base_no, changes) = (DEALT_PLACEMENT, Arc::new(changes));
+        let (base_no, changes) = (INITIAL_PLACEMENT, Arc::new(changes));
         self.set_plan(Plan::Prepare { placement_no, base_no, shape, changes }, now);
     }
 
@@ -56,7 +56,7 @@
         let resign =
             |to: &A| Action::Send { to: to.clone(), message: Message::Resign { term, next } };
         let mut actions: Vec<Action<A>> = self.known_others().map(|(_, to)| resign(to)).collect();
-        actions.push(Action::Note(RankNote::Resigns { next }));
+        actions.push(Action::Event(RankEvent::Resigned { next }));
 
         actions
     }
@@ -84,12 +84,14 @@
 
     fn claim_wait(&self, rank: Rank) -> Duration {
         let doublings = (f64::from(rank) + 1.0).log2();
-        let wait = self.options.claim_after + self.options.claim_per_doubling.mul_f64(doublings);
+        let wait = self.options.election_timeout
+            + self.options.election_timeout_per_doubling.mul_f64(doublings);
         // A leader that does not know its group's nodes yet tells all of the service, and the first has the time for that.
         let to_tell = self.others.len().max(self.roster.len());
-        let wait = if rank == 0 { wait } else { wait + self.options.per_rank * to_tell as u32 };
+        let wait =
+            if rank == 0 { wait } else { wait + self.options.round_trip_per_rank * to_tell as u32 };
         let is_unnamed = rank >= NAMED_RANKS && self.awaits_others;
-        let wait = if is_unnamed { wait + self.options.claim_unnamed } else { wait };
+        let wait = if is_unnamed { wait + self.options.late_candidate_delay } else { wait };
         // A single loss is no reason: so does each leader lose that was cut off or frozen.
         let backoff = self.lost_leads.saturating_sub(1).min(MAX_DOUBLINGS);
 
@@ -109,9 +111,9 @@
             && let Some(placement) = self.placements.get(&placement_no)
         {
             let shape = placement.shape();
-            let first = Placement::dealt(report.size, usize::from(shape.0), shape.1);
+            let first = Placement::round_robin(report.size, usize::from(shape.0), shape.1);
             lead.carry_on(placement_no, shape, first.changes_to(placement), now);
-            actions.push(Action::Note(RankNote::CarriesOn { placement_no }));
+            actions.push(Action::Event(RankEvent::PlanResumed { placement_no }));
         }
 
         self.promised = term;
@@ -120,7 +122,7 @@
         self.is_called = false;
         self.lead = Some(lead);
         self.asked_parts_at = None;
-        actions.push(Action::Note(RankNote::Leads(term)));
+        actions.push(Action::Event(RankEvent::LeadershipTaken(term)));
     }
 
     /// Gets the placement that the leader before wanted, where it may still come into use. Its number stands for
@@ -145,6 +147,6 @@
         self.promised = term;
         self.directive = None;
         self.is_called = false;
-        actions.push(Action::Note(RankNote::Follows(term)));
+        actions.push(Action::Event(RankEvent::LeaderFollowed(term)));
     }
 }
--- a/grebedeck-experts/src/rollout/engaged.rs
+++ b/grebedeck-experts/src/rollout/engaged.rs
@@ -158,7 +158,7 @@
             }
         }
 
-        if engaged.reports_due == 0 && now >= engaged.heard_at + self.options.period {
+        if engaged.reports_due == 0 && now >= engaged.heard_at + self.options.heartbeat_period {
             self.engaged = Some(Engaged { heard_at: now, ..engaged });
             self.answer_holder(report, actions);
         }
--- a/grebedeck-experts/src/rollout/holder.rs
+++ b/grebedeck-experts/src/rollout/holder.rs
@@ -4,7 +4,7 @@
 
 use grebedeck_core::{Moment, Rank};
 
-use super::action::{Action, RankNote};
+use super::action::{Action, RankEvent};
 use super::changeover::{Holding, HoldingAction, WantedHold};
 use super::message::{Changeover, ChangeoverAnswer, ChangeoverStep, Message, Stage};
 use super::node::Node;
@@ -70,18 +70,18 @@
                 // What was wanted of engines is void once the pass has begun.
                 _ if is_over => {}
                 HoldingAction::Order(rank, order) => actions.push(Action::Order { rank, order }),
-                HoldingAction::Ask(rank) => actions.push(Action::Ask { rank }),
+                HoldingAction::Ask(rank) => actions.push(Action::ReadReport { rank }),
             }
         }
 
         if is_over {
             self.released = Some(holding.pass());
-            let note = RankNote::Released {
+            let note = RankEvent::PassReleased {
                 pass: holding.pass(),
                 placement_no: report.armed.map(|a| a.placement_no),
                 held_for: now.saturating_sub(holding.since()),
             };
-            actions.push(Action::Note(note));
+            actions.push(Action::Event(note));
         } else {
             self.holding = Some(holding);
         }
@@ -112,7 +112,7 @@
             }
             // The hold is older than the process, and so may be what an earlier one has begun.
             _ if !self.saw_unheld => {
-                actions.push(Action::Note(RankNote::Recovers { pass }));
+                actions.push(Action::Event(RankEvent::HeldPassFound { pass }));
                 Some(Holding::recover(report, term, pass, round, now))
             }
             Some(wanted)
--- a/grebedeck-experts/src/rollout/lead.rs
+++ b/grebedeck-experts/src/rollout/lead.rs
@@ -7,12 +7,12 @@
 use grebedeck_core::{Expert, Moment, Rank};
 
 use super::absent::Help;
-use super::action::{Action, RankNote};
+use super::action::{Action, RankEvent};
 use super::message::{Directive, Stage, Status, Term};
 use super::node::Node;
 use super::options::NodeOptions;
 use super::tell::FAN_OUT;
-use crate::engine::{DEALT_PLACEMENT, PassNo, PlacementNo, RankAction, RankOrder, RankReport};
+use crate::engine::{INITIAL_PLACEMENT, PassNo, PlacementNo, RankAction, RankOrder, RankReport};
 use crate::placement::{Placement, RankChange};
 
 /// Bits of a placement's number that tell the starts of the leaders' processes apart.
@@ -329,7 +329,7 @@
         let placement_no = self.next_placement_no();
         let changes = Arc::new(base.changes_to(&placement));
         self.proposed_no = placement_no;
-        self.keep_placement(placement_no, Arc::new(placement));
+        self.store_placement(placement_no, Arc::new(placement));
 
         if let Some(lead) = &mut self.lead {
             lead.set_plan(Plan::Prepare { placement_no, base_no, shape, changes }, now);
@@ -343,16 +343,16 @@
     /// first one, which each can work out. With the one in use, 62 of 63 nodes that had lost their memory asked the
     /// leader for it; its link carried nothing else, and in virtual time 22 nodes took the lead in 22 s.
     fn base_of_plan(&mut self, in_use: Arc<Placement>) -> (PlacementNo, Arc<Placement>) {
-        let in_use_no = self.report.as_ref().map_or(DEALT_PLACEMENT, |r| r.placement);
+        let in_use_no = self.report.as_ref().map_or(INITIAL_PLACEMENT, |r| r.placement);
 
         if self.lead.as_ref().is_some_and(Lead::is_base_known) {
             return (in_use_no, in_use);
         }
 
         self.keep_first_placement(in_use.shape());
-        let first = self.placements.get(&DEALT_PLACEMENT).cloned();
+        let first = self.placements.get(&INITIAL_PLACEMENT).cloned();
 
-        first.map_or((in_use_no, in_use), |first| (DEALT_PLACEMENT, first))
+        first.map_or((in_use_no, in_use), |first| (INITIAL_PLACEMENT, first))
     }
 
     /// Gets a number above all that any engine has had, and that no other leader draws.
@@ -382,12 +382,12 @@
             self.step_plan(own, now, actions);
         }
 
-        let period = self.options.period;
+        let heartbeat_period = self.options.heartbeat_period;
         let Some(lead) = &mut self.lead else {
             return;
         };
 
-        if lead.told_at.is_none_or(|at| now >= at + period) {
+        if lead.told_at.is_none_or(|at| now >= at + heartbeat_period) {
             lead.told_at = Some(now);
             let directive = lead.directive(own);
             self.broadcast(directive, now, actions);
@@ -427,7 +427,7 @@
         if own.placement == placement_no {
             let pass = own.pass;
             lead.set_plan(Plan::Idle, now);
-            actions.push(Action::Note(RankNote::InUse { placement_no, pass }));
+            actions.push(Action::Event(RankEvent::PlacementInUse { placement_no, pass }));
             return;
         }
 
@@ -435,12 +435,12 @@
         let absent = lead.absent(own, now, &options);
         let is_overtaken = absent.is_some_and(|rank| lead.is_overtaken(rank, placement_no));
         let is_refused = is_refused || is_overtaken;
-        let is_late = now >= lead.since + options.prepare_limit;
+        let is_late = now >= lead.since + options.prepare_timeout;
 
         if is_refused || is_late {
             let reason = if is_refused { "refused" } else { "not prepared in time" };
             lead.set_plan(Plan::Idle, now);
-            actions.push(Action::Note(RankNote::GivenUp { placement_no, reason }));
+            actions.push(Action::Event(RankEvent::PlanAbandoned { placement_no, reason }));
             return;
         }
 
@@ -464,7 +464,7 @@
         now: Moment,
         actions: &mut Vec<Action<A>>,
     ) {
-        let first_arm_time = self.options.for_all(self.options.arm_time, own.size);
+        let first_arm_time = self.options.for_all(self.options.initial_arm_time, own.size);
         let passes_ahead = self.passes.ahead(self.arming.expected(first_arm_time), now);
         let Some(lead) = &mut self.lead else {
             return;
@@ -483,7 +483,7 @@
             released_at: None,
         };
         lead.set_plan(Plan::Hold(plan), now);
-        actions.push(Action::Note(RankNote::Holding { placement_no, pass, holder }));
+        actions.push(Action::Event(RankEvent::HoldRequested { placement_no, pass, holder }));
         actions.push(order_hold(own, holder, pass));
     }
 
@@ -504,15 +504,15 @@
             let took = plan.released_at.unwrap_or(now) - lead.since;
             lead.set_plan(Plan::Idle, now);
             self.arming.note(took);
-            actions.push(Action::Note(RankNote::InUse { placement_no, pass }));
-        } else if own.pass >= pass && holds < options.max_holds {
+            actions.push(Action::Event(RankEvent::PlacementInUse { placement_no, pass }));
+        } else if own.pass >= pass && holds < options.max_hold_attempts {
             // The pass has begun without it, so it is tried once more; no two holds are ever under way.
             self.hold(placement_no, holds + 1, own, now, actions);
         } else if own.pass >= pass {
             lead.set_plan(Plan::Idle, now);
             let reason = "not all ready";
-            actions.push(Action::Note(RankNote::GivenUp { placement_no, reason }));
-        } else if !plan.is_taken && now >= plan.ordered_at + options.order_pause {
+            actions.push(Action::Event(RankEvent::PlanAbandoned { placement_no, reason }));
+        } else if !plan.is_taken && now >= plan.ordered_at + options.order_retry_delay {
             lead.plan = Plan::Hold(HoldPlan { ordered_at: now, ..plan });
             actions.push(order_hold(own, holder, pass));
         }
--- a/grebedeck-experts/src/rollout/node.rs
+++ b/grebedeck-experts/src/rollout/node.rs
@@ -5,7 +5,7 @@
 
 use grebedeck_core::{Moment, Rank};
 
-use super::action::{Action, RankNote};
+use super::action::{Action, RankEvent};
 use super::arming::ArmingTime;
 use super::bulk::BulkQueue;
 use super::changeover::Holding;
@@ -16,7 +16,7 @@
 use super::passes::PassClock;
 use super::tell::NAMED_RANKS;
 use crate::engine::{
-    DEALT_PLACEMENT, OrderEnd, PassNo, PlacementNo, RankAction, RankOrder, RankReport,
+    INITIAL_PLACEMENT, OrderOutcome, PassNo, PlacementNo, RankAction, RankOrder, RankReport,
 };
 use crate::placement::Placement;
 
@@ -110,20 +110,20 @@
         }
     }
 
-    /// Has the node take no lead before [`Node::set_others`]: one that nobody hears of only sets off others.
-    pub fn await_others(&mut self) {
+    /// Has the node take no lead before [`Node::set_peers`]: one that nobody hears of only sets off others.
+    pub fn await_peers(&mut self) {
         self.awaits_others = true;
     }
 
     /// Sets the other nodes of the group, whatever their ranks.
-    pub fn set_others(&mut self, others: BTreeSet<A>) {
+    pub fn set_peers(&mut self, others: BTreeSet<A>) {
         self.awaits_others = false;
         self.elsewhere.retain(|other, _| others.contains(other));
         self.others = others;
     }
 
     /// Notes that another node is of another group of the same service.
-    pub fn mark_elsewhere(&mut self, other: A, now: Moment) {
+    pub fn mark_foreign(&mut self, other: A, now: Moment) {
         self.elsewhere.insert(other, now);
     }
 
@@ -147,24 +147,24 @@
 
     /// Tells whether the node leads, or will soon take the lead.
     pub fn may_lead_soon(&self, now: Moment) -> bool {
-        let soon = now + self.options.ask_ahead;
+        let soon = now + self.options.peer_lookup_lead_time;
 
         self.is_leading() || self.report.as_ref().is_some_and(|r| self.may_claim(r.rank, soon))
     }
 
     /// Tells whether the node is one of the first to take the lead, which a leader names all nodes to.
-    pub fn is_named(&self) -> bool {
+    pub fn is_early_candidate(&self) -> bool {
         self.report.as_ref().is_some_and(|r| r.rank < NAMED_RANKS)
     }
 
     /// Tells whether the node needs the other nodes to take the lead, and does not know them.
-    pub fn wants_others(&self, now: Moment) -> bool {
+    pub fn needs_peers(&self, now: Moment) -> bool {
         let Some(report) = &self.report else {
             return false;
         };
         let knows_all = self.roster.len() == usize::from(report.size);
         // Those that are first to take the lead have to know whom to tell by then, and reading the list takes a while.
-        let is_early = self.awaits_others && self.is_named();
+        let is_early = self.awaits_others && self.is_early_candidate();
 
         !knows_all && (is_early || self.may_lead_soon(now))
     }
@@ -226,7 +226,7 @@
                 self.send_placement(from, placement_no, now, &mut actions);
             }
             Message::Placement { placement_no, placement } => {
-                self.keep_placement(placement_no, placement);
+                self.store_placement(placement_no, placement);
             }
             Message::Resign { term, next } => self.take_resign(term, next, now),
             Message::AskPart { placement_no } => self.send_part(from, placement_no, &mut actions),
@@ -238,22 +238,22 @@
     }
 
     /// Takes in what became of an order.
-    pub fn on_order(&mut self, rank: Rank, order: &RankOrder, end: OrderEnd) {
+    pub fn on_order_outcome(&mut self, rank: Rank, order: &RankOrder, end: OrderOutcome) {
         // What an engine refused before the group formed anew says nothing of the plans since.
         let is_own = self.report.as_ref().is_some_and(|r| r.rank == rank && r.epoch == order.epoch);
 
-        if let (true, RankAction::Prepare { placement_no, .. }, OrderEnd::Refused) =
+        if let (true, RankAction::Prepare { placement_no, .. }, OrderOutcome::Refused) =
             (is_own, &order.action, end)
         {
             self.refused = Some(*placement_no);
             self.told_at = None;
         }
 
-        if let (Some(holding), OrderEnd::Taken) = (&mut self.holding, end) {
+        if let (Some(holding), OrderOutcome::Taken) = (&mut self.holding, end) {
             holding.note_armed(rank, order);
         }
 
-        if let (Some(lead), RankAction::Hold { pass }, OrderEnd::Taken) =
+        if let (Some(lead), RankAction::Hold { pass }, OrderOutcome::Taken) =
             (&mut self.lead, &order.action, end)
         {
             lead.note_held(*pass);
@@ -348,8 +348,8 @@
             // Ranks may have changed their places, and numbers count from the start again.
             self.roster.clear();
             self.parts.clear();
-            self.placements.retain(|no, p| *no == DEALT_PLACEMENT && p.ranks() == report.size);
-            actions.push(Action::Note(RankNote::NewEpoch(report.epoch)));
+            self.placements.retain(|no, p| *no == INITIAL_PLACEMENT && p.ranks() == report.size);
+            actions.push(Action::Event(RankEvent::EpochChanged(report.epoch)));
         }
     }
 
@@ -454,7 +454,7 @@
         actions: &mut Vec<Action<A>>,
     ) {
         let order = RankOrder { epoch: report.epoch, action };
-        let pause = self.options.order_pause;
+        let pause = self.options.order_retry_delay;
         let is_due = self.ordered.as_ref().is_none_or(|(o, at)| *o != order || now >= *at + pause);
 
         if is_due {
@@ -474,7 +474,7 @@
         let Some(leader) = self.leader.clone() else {
             return;
         };
-        let is_due = self.told_at.is_none_or(|at| now >= at + self.options.period);
+        let is_due = self.told_at.is_none_or(|at| now >= at + self.options.heartbeat_period);
         let has_changed = self.told.as_ref().is_none_or(|told| differs(told, &status));
 
         if is_due || has_changed {
@@ -499,7 +499,7 @@
             is_engaged: self.engaged.is_some() || self.holding.is_some(),
             known: self.roster.len() as Rank,
             revision: self.directive.as_ref().map_or(0, |directive| directive.revision),
-            knows_placement: report.placement == DEALT_PLACEMENT
+            knows_placement: report.placement == INITIAL_PLACEMENT
                 || self.placements.contains_key(&report.placement),
         }
     }
--- a/grebedeck-experts/src/rollout/parts.rs
+++ b/grebedeck-experts/src/rollout/parts.rs
@@ -9,7 +9,7 @@
 use super::bulk::placement_bytes;
 use super::message::{Message, RankPart};
 use super::node::Node;
-use crate::engine::{DEALT_PLACEMENT, PlacementNo, RankReport};
+use crate::engine::{INITIAL_PLACEMENT, PlacementNo, RankReport};
 use crate::placement::{Placement, RankChange};
 
 /// Placements that a node remembers: the one in use, the one before it, and one that was given up.
@@ -17,12 +17,12 @@
 
 impl<A: Clone + Ord> Node<A> {
     /// Notes a placement, such as the one that engines start with.
-    pub fn keep_placement(&mut self, placement_no: PlacementNo, placement: Arc<Placement>) {
+    pub fn store_placement(&mut self, placement_no: PlacementNo, placement: Arc<Placement>) {
         self.placements.insert(placement_no, placement);
         let in_use = self.report.as_ref().map_or(0, |r| r.placement);
 
         while self.placements.len() > KEPT_PLACEMENTS {
-            let may_go = |no: &&PlacementNo| **no != DEALT_PLACEMENT && **no != in_use;
+            let may_go = |no: &&PlacementNo| **no != INITIAL_PLACEMENT && **no != in_use;
             let oldest = self.placements.keys().find(may_go).copied();
 
             match oldest {
@@ -44,8 +44,8 @@
         let size = self.report.as_ref().map_or(0, |r| r.size);
 
         if size > 0 && !self.placements.contains_key(&0) {
-            let first = Placement::dealt(size, usize::from(sets), experts);
-            self.keep_placement(DEALT_PLACEMENT, Arc::new(first));
+            let first = Placement::round_robin(size, usize::from(sets), experts);
+            self.store_placement(INITIAL_PLACEMENT, Arc::new(first));
         }
     }
 
@@ -59,7 +59,7 @@
         let wanted = self.placements.get(&base_no).and_then(|base| base.with(changes));
 
         match wanted {
-            Some(wanted) => self.keep_placement(placement_no, Arc::new(wanted)),
+            Some(wanted) => self.store_placement(placement_no, Arc::new(wanted)),
             // What was kept under this number before is not to be taken for it.
             None => drop(self.placements.remove(&placement_no)),
         }
@@ -72,7 +72,7 @@
         now: Moment,
         actions: &mut Vec<Action<A>>,
     ) {
-        let pause = self.options.order_pause;
+        let pause = self.options.order_retry_delay;
         let is_due = self.asked_placement_at.is_none_or(|at| now >= at + pause);
 
         if let Some(to) = self.leader.clone().filter(|_| is_due) {
@@ -108,7 +108,7 @@
         actions: &mut Vec<Action<A>>,
     ) {
         let is_known = self.placements.contains_key(&report.placement);
-        let pause = self.options.order_pause;
+        let pause = self.options.order_retry_delay;
         let is_due = self.asked_parts_at.is_none_or(|at| now >= at + pause);
 
         if is_known || !is_due {
@@ -169,7 +169,7 @@
 
         if size > 0 && self.parts.len() == size && !self.placements.contains_key(&placement_no) {
             let placement = Placement::from_parts(self.parts.values());
-            self.keep_placement(placement_no, Arc::new(placement));
+            self.store_placement(placement_no, Arc::new(placement));
         }
     }
 }
--- a/grebedeck-experts/src/rollout/tell.rs
+++ b/grebedeck-experts/src/rollout/tell.rs
@@ -115,7 +115,7 @@
         let waiting_bytes = (step_bytes - BULK_BURST_BYTES).max(0.0);
         let spread = Duration::from_secs_f64(steps * waiting_bytes / BULK_BYTES_PER_S);
 
-        self.options.for_all(self.options.insist, size) + spread
+        self.options.for_all(self.options.changeover_retry_delay, size) + spread
     }
 
     /// Gets the leader's word for one node, without what a plan changes.
--- a/grebedeck-experts/tests/assign.rs
+++ b/grebedeck-experts/tests/assign.rs
@@ -48,7 +48,7 @@
 fn placements_are_valid_and_skew_falls_to_the_target() {
     let costs = vec![1.0; usize::from(RANKS)];
     let mut random = SeededSource::new(3);
-    let mut placement = Placement::dealt(RANKS, 2, EXPERTS);
+    let mut placement = Placement::round_robin(RANKS, 2, EXPERTS);
 
     for round in 0..60 {
         let popularity = vec![skewed(&mut random), skewed(&mut random)];
@@ -71,7 +71,7 @@
 fn no_rank_copies_more_than_is_allowed_over_all_sets() {
     let costs = vec![1.0; usize::from(RANKS)];
     let mut random = SeededSource::new(13);
-    let before = Placement::dealt(RANKS, 3, EXPERTS);
+    let before = Placement::round_robin(RANKS, 3, EXPERTS);
 
     for most in 1..=3 {
         let popularity: Vec<_> = (0..3).map(|_| skewed(&mut random)).collect();
@@ -91,7 +91,7 @@
 
 #[test]
 fn a_level_placement_is_left_as_it_is() {
-    let placement = Placement::dealt(RANKS, 1, EXPERTS);
+    let placement = Placement::round_robin(RANKS, 1, EXPERTS);
     let popularity = vec![vec![1.0; usize::from(EXPERTS)]];
     let next = improve(&placement, &popularity, &vec![1.0; usize::from(RANKS)], &options());
 
@@ -100,7 +100,7 @@
 
 #[test]
 fn a_slow_rank_is_relieved() {
-    let placement = Placement::dealt(RANKS, 1, EXPERTS);
+    let placement = Placement::round_robin(RANKS, 1, EXPERTS);
     let popularity = vec![vec![1.0; usize::from(EXPERTS)]];
     let mut costs = vec![1.0; usize::from(RANKS)];
     costs[3] = 4.0;
@@ -119,7 +119,7 @@
     let mut random = SeededSource::new(5);
     let popularity = vec![skewed(&mut random)];
     let costs = vec![1.0; usize::from(RANKS)];
-    let placement = Placement::dealt(RANKS, 1, EXPERTS);
+    let placement = Placement::round_robin(RANKS, 1, EXPERTS);
     let careful = AssignOptions { min_gain_per_copy: 100.0, ..options() };
 
     assert_eq!(placement.copies_to(&improve(&placement, &popularity, &costs, &careful)), 0);
@@ -127,7 +127,7 @@
 
 #[test]
 fn a_placement_is_put_together_from_its_parts() {
-    let placement = Placement::dealt(RANKS, 3, EXPERTS);
+    let placement = Placement::round_robin(RANKS, 3, EXPERTS);
     let parts: Vec<_> = (0..RANKS).map(|rank| placement.part_of(rank)).collect();
 
     assert_eq!(Placement::from_parts(parts.iter()), placement);
@@ -140,13 +140,13 @@
     let mut random = SeededSource::new(9);
     let popularity = vec![skewed(&mut random), skewed(&mut random)];
     let costs = vec![1.0; usize::from(RANKS)];
-    let placement = Placement::dealt(RANKS, 2, EXPERTS);
+    let placement = Placement::round_robin(RANKS, 2, EXPERTS);
     let next = improve(&placement, &popularity, &costs, &options());
     let changes = placement.changes_to(&next);
 
     assert_eq!(placement.with(&changes), Some(next));
     assert!(!changes.is_empty() && changes.len() < 2 * usize::from(RANKS), "{}", changes.len());
-    assert_eq!(Placement::dealt(2, 1, 4).with(&changes), None, "it does not fit another");
+    assert_eq!(Placement::round_robin(2, 1, 4).with(&changes), None, "it does not fit another");
 }
 
 /// The least gain that is worth a copy was that of a group of 16 ranks: of 192 a dozen stand above the mean, one copy
@@ -159,7 +159,7 @@
     let mut random = SeededSource::new(3);
     let mut normal = || (0..12).map(|_| random.unit()).sum::<f64>() - 6.0;
     let weights: Vec<f32> = (0..MANY_EXPERTS).map(|_| (0.7 * normal()).exp() as f32).collect();
-    let before = Placement::dealt(MANY_RANKS, 1, MANY_EXPERTS);
+    let before = Placement::round_robin(MANY_RANKS, 1, MANY_EXPERTS);
     let options = AssignOptions {
         places: 3,
         max_new: 2,
--- a/grebedeck-experts/tests/rollout/group.rs
+++ b/grebedeck-experts/tests/rollout/group.rs
@@ -10,8 +10,8 @@
 use grebedeck_core::random::SeededSource;
 use grebedeck_core::{Moment, RandomSource, Rank};
 use grebedeck_experts::engine::{PassNo, PlacementNo};
-use grebedeck_experts::rollout::{Action, Message, Node, NodeOptions, RankNote};
-use grebedeck_experts::{OrderEnd, RankOrder, RankReport};
+use grebedeck_experts::rollout::{Action, Message, Node, NodeOptions, RankEvent};
+use grebedeck_experts::{OrderOutcome, RankOrder, RankReport};
 
 use crate::engine::Engine;
 use crate::shape::{SMALL_SHAPE, Shape};
@@ -71,7 +71,7 @@
 #[derive(Clone)]
 enum Event {
     Message { from: usize, message: Message<usize> },
-    Ordered { rank: Rank, order: RankOrder, end: OrderEnd },
+    Ordered { rank: Rank, order: RankOrder, end: OrderOutcome },
     Report(RankReport),
     Part(PlacementNo, Vec<Vec<u16>>),
 }
@@ -315,7 +315,7 @@
                     actions.extend(node.on_message(from, message, now));
                 }
                 Event::Ordered { rank, order, end } => {
-                    node.on_order(rank, &order, end);
+                    node.on_order_outcome(rank, &order, end);
                     machine.report_at = now;
                 }
                 Event::Report(report) => actions.extend(node.on_report(report, now)),
@@ -354,7 +354,7 @@
                 }
             }
             Action::Order { rank, order } => self.order(at, rank, order),
-            Action::Ask { rank } => {
+            Action::ReadReport { rank } => {
                 if self.knows(at, rank) && self.reaches(at, usize::from(rank)) {
                     let lagged = self.machines[usize::from(rank)].lagged.clone();
 
@@ -369,11 +369,11 @@
                 let part = placement.map(|p| p.part_of(at as Rank)).unwrap_or_default();
                 self.at(ms(1), Timed::ToNode(at, Event::Part(engine.placement, part)));
             }
-            Action::Note(RankNote::GivenUp { .. }) => self.given_up += 1,
-            Action::Note(RankNote::Holding { .. }) => self.held_at = self.now,
-            Action::Note(RankNote::CarriesOn { .. }) => self.carried_on += 1,
-            Action::Note(RankNote::Leads(_)) => self.claims += 1,
-            Action::Note(_) => {}
+            Action::Event(RankEvent::PlanAbandoned { .. }) => self.given_up += 1,
+            Action::Event(RankEvent::HoldRequested { .. }) => self.held_at = self.now,
+            Action::Event(RankEvent::PlanResumed { .. }) => self.carried_on += 1,
+            Action::Event(RankEvent::LeadershipTaken(_)) => self.claims += 1,
+            Action::Event(_) => {}
         }
     }
 
@@ -418,7 +418,7 @@
         let is_late = self.now < self.faults.until && self.chance(late);
 
         if !self.reaches(at, to) || is_late {
-            let end = OrderEnd::Unknown;
+            let end = OrderOutcome::Unknown;
             self.at(ms(150), Timed::ToNode(at, Event::Ordered { rank, order: order.clone(), end }));
         }
 
@@ -432,14 +432,14 @@
         }
     }
 
-    fn carry_out(&mut self, to: usize, order: &RankOrder) -> OrderEnd {
+    fn carry_out(&mut self, to: usize, order: &RankOrder) -> OrderOutcome {
         let (pass, now) = (self.pass, self.now);
         let engine = &mut self.machines[to].engine;
 
         if order.epoch == engine.epoch && engine.take(&order.action, pass, now) {
-            OrderEnd::Taken
+            OrderOutcome::Taken
         } else {
-            OrderEnd::Refused
+            OrderOutcome::Refused
         }
     }
 
@@ -462,7 +462,7 @@
 
             if node.can_plan(now) {
                 // Only whoever plans knows the engines' shape; the others learn it from the plan.
-                node.keep_placement(0, self.shape.dealt(usize::from(size)));
+                node.store_placement(0, self.shape.dealt(usize::from(size)));
             }
 
             if node.can_plan(now) && node.placement_in_use().is_some() {
@@ -476,7 +476,7 @@
 
 fn new_node(at: usize, size: usize, life: u64, now: Moment) -> Node<usize> {
     let mut node = Node::new(at, life, now, NodeOptions::default());
-    node.set_others((0..size).filter(|other| *other != at).collect());
+    node.set_peers((0..size).filter(|other| *other != at).collect());
     node
 }
 
--- a/grebedeck-experts/tests/rollout/lead.rs
+++ b/grebedeck-experts/tests/rollout/lead.rs
@@ -17,13 +17,13 @@
 }
 
 fn dealt() -> Placement {
-    Placement::dealt(RANKS, 1, 6)
+    Placement::round_robin(RANKS, 1, 6)
 }
 
 /// Makes a node of rank 0 that knows the first placement.
 fn first_node() -> Node<u16> {
     let mut node = Node::new(0u16, 1, secs(0), NodeOptions::default());
-    node.keep_placement(0, Arc::new(dealt()));
+    node.store_placement(0, Arc::new(dealt()));
     node.on_report(report(0, None), secs(0));
     node
 }
@@ -145,7 +145,7 @@
     let mut node = first_node();
     let mut in_use = dealt();
     in_use.sets[0][0].push(1);
-    node.keep_placement(9, Arc::new(in_use));
+    node.store_placement(9, Arc::new(in_use));
     node.on_report(grebedeck_experts::RankReport { placement: 9, ..report(0, None) }, ms(10));
     assert!(node.placement_in_use().is_some());
     let again = grebedeck_experts::RankReport { epoch: 2, ..report(0, None) };
@@ -160,7 +160,7 @@
 fn whole_placements_are_sent_as_the_link_has_time() {
     let mut node = Node::new(0u16, 1, secs(0), NodeOptions::default());
     node.on_report(report(0, None), secs(0));
-    node.keep_placement(0, Arc::new(Placement::dealt(63, 8, 252)));
+    node.store_placement(0, Arc::new(Placement::round_robin(63, 8, 252)));
     let mut asked = |now: Moment| -> usize {
         let ask = |from| node.on_message(from, Message::AskPlacement { placement_no: 0 }, now);
         let actions = (1..63).flat_map(ask);
--- a/grebedeck-experts/tests/rollout/main.rs
+++ b/grebedeck-experts/tests/rollout/main.rs
@@ -192,9 +192,9 @@
 /// it was to ask, since no message without a plan had told it.
 #[test]
 fn a_holder_is_told_of_all_nodes() {
-    let dealt = Placement::dealt(RANKS, 1, 6);
+    let dealt = Placement::round_robin(RANKS, 1, 6);
     let mut node = Node::new(0u16, 1, secs(0), NodeOptions::default());
-    node.keep_placement(0, Arc::new(dealt.clone()));
+    node.store_placement(0, Arc::new(dealt.clone()));
     node.on_report(report(0, None), secs(0));
     node.tick(secs(1));
     assert!(node.is_leading());
@@ -262,7 +262,7 @@
 #[test]
 fn a_leader_that_knows_all_its_nodes_tells_nobody_else() {
     let mut node = Node::new(0u16, 1, secs(0), NodeOptions::default());
-    node.set_others((1..10).collect());
+    node.set_peers((1..10).collect());
     node.on_report(report(0, None), secs(0));
     let told = |actions: &[Action<u16>]| {
         let is_lead =
@@ -303,7 +303,7 @@
 
     for groups in [1, 2, 4, 16] {
         let mut node = Node::new(0u16, 1, secs(0), NodeOptions::default());
-        node.set_others((1..SIZE * groups).collect());
+        node.set_peers((1..SIZE * groups).collect());
         node.on_report(own_report(0), secs(0));
         let told = |actions: &[Action<u16>]| {
             let is_lead =
@@ -329,7 +329,7 @@
             node.on_message(rank, Message::Status(status), secs(2));
         }
 
-        (SIZE..SIZE * groups).for_each(|other| node.mark_elsewhere(other, secs(2)));
+        (SIZE..SIZE * groups).for_each(|other| node.mark_foreign(other, secs(2)));
         assert_eq!(told(&node.tick(secs(3))), usize::from(SIZE) - 1, "{groups} groups");
         // Whoever has said so long ago is asked again.
         assert_eq!(told(&node.tick(secs(8))), usize::from(SIZE * groups) - 1, "{groups} groups");
@@ -340,19 +340,19 @@
 #[test]
 fn a_node_takes_no_lead_that_nobody_hears_of() {
     let mut node = Node::new(0u16, 1, secs(0), NodeOptions::default());
-    node.await_others();
+    node.await_peers();
     node.on_report(report(0, None), secs(0));
-    assert!(node.wants_others(secs(0)), "the first one asks at once");
+    assert!(node.needs_peers(secs(0)), "the first one asks at once");
     node.tick(secs(3));
     assert!(!node.is_leading());
-    node.set_others((1..10).collect());
+    node.set_peers((1..10).collect());
     node.tick(secs(4));
     assert!(node.is_leading());
 
     let mut last = Node::new(7u16, 1, secs(0), NodeOptions::default());
-    last.await_others();
+    last.await_peers();
     last.on_report(RankReport { size: 192, ..report(100, None) }, secs(0));
-    assert!(!last.wants_others(secs(0)), "the others ask when their turn comes");
+    assert!(!last.needs_peers(secs(0)), "the others ask when their turn comes");
 }
 
 /// A leader that came back gave a number that it had given before to another placement; nodes that did not
--- a/grebedeck-experts/tests/rollout/shape.rs
+++ b/grebedeck-experts/tests/rollout/shape.rs
@@ -21,7 +21,7 @@
     /// Gets the placement that engines start with.
     pub fn dealt(self, size: usize) -> Arc<Placement> {
         let experts = self.per_rank * size as u16;
-        Arc::new(Placement::dealt(size as Rank, usize::from(self.sets), experts))
+        Arc::new(Placement::round_robin(size as Rank, usize::from(self.sets), experts))
     }
 
     /// Gets a placement with one more expert at each rank than it starts with.
--- a/grebedeck-experts/tests/starts.rs
+++ b/grebedeck-experts/tests/starts.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use grebedeck_experts::balancer::CountDelta;
-use grebedeck_experts::rollout::{Action, Message, Node, NodeOptions, RankNote, Status, Term};
+use grebedeck_experts::rollout::{Action, Message, Node, NodeOptions, RankEvent, Status, Term};
 use grebedeck_experts::{RankCounts, RankReport};
 
 const MS: fn(u64) -> Duration = Duration::from_millis;
@@ -61,7 +61,7 @@
     let mut node: Node<u16> = Node::new(0, 1, MS(0), NodeOptions::default());
     node.on_report(report(0, Some(1)), MS(0));
     let is_new = |actions: Vec<Action<u16>>| {
-        actions.iter().any(|a| matches!(a, Action::Note(RankNote::NewEpoch(_))))
+        actions.iter().any(|a| matches!(a, Action::Event(RankEvent::EpochChanged(_))))
     };
 
     assert!(!is_new(node.on_report(report(0, Some(1)), MS(20))));
@@ -73,7 +73,7 @@
     let mut node: Node<u16> = Node::new(0, 1, MS(0), NodeOptions::default());
     node.on_report(report(0, Some(1)), MS(0));
     let leads = |action: Action<u16>| match action {
-        Action::Note(RankNote::Leads(term)) => Some(term),
+        Action::Event(RankEvent::LeadershipTaken(term)) => Some(term),
         _ => None,
     };
     let mut ticks = (1..1000).map(|tick| MS(50 * tick));
--- a/grebedeck/src/rank/balance.rs
+++ b/grebedeck/src/rank/balance.rs
@@ -43,7 +43,7 @@
     pub fn first_placement(&self, ranks: u16) -> Option<Placement> {
         let spec = self.spec.as_ref()?;
 
-        Some(Placement::dealt(ranks, usize::from(spec.sets), spec.experts))
+        Some(Placement::round_robin(ranks, usize::from(spec.sets), spec.experts))
     }
 
     /// Takes in what a rank counted.
--- a/grebedeck/src/rank/calls.rs
+++ b/grebedeck/src/rank/calls.rs
@@ -5,7 +5,7 @@
 use grebedeck_core::{Error, GroupId, Rank, Result};
 use grebedeck_experts::engine::PlacementNo;
 use grebedeck_experts::rollout::RankPart;
-use grebedeck_experts::{OrderEnd, RankCounts, RankEngine, RankOrder, RankReport};
+use grebedeck_experts::{OrderOutcome, RankCounts, RankEngine, RankOrder, RankReport};
 use grebedeck_gateway::{Site, SiteStore, TargetListing};
 use grebedeck_kernel::log;
 
@@ -17,7 +17,7 @@
     Report(Result<RankReport>),
     Asked(Result<RankReport>),
     Counts(Result<RankCounts>),
-    Ordered { rank: Rank, order: RankOrder, end: OrderEnd },
+    Ordered { rank: Rank, order: RankOrder, end: OrderOutcome },
     Part(Result<(PlacementNo, RankPart)>),
     Listed(Result<TargetListing>),
     Site(Result<Option<Site>>),
@@ -56,7 +56,7 @@
 
         self.tasks
             .spawn(async move {
-                let end = engine.order(&order).await.unwrap_or(OrderEnd::Refused);
+                let end = engine.order(&order).await.unwrap_or(OrderOutcome::Refused);
                 let _ = outcomes.send(Outcome::Ordered { rank, order, end }).await;
             })
             .detach();
--- a/grebedeck/src/rank/counters.rs
+++ b/grebedeck/src/rank/counters.rs
@@ -1,7 +1,7 @@
 //! What a rank process counts.
 
-use grebedeck_experts::OrderEnd;
-use grebedeck_experts::rollout::RankNote;
+use grebedeck_experts::OrderOutcome;
+use grebedeck_experts::rollout::RankEvent;
 use grebedeck_kernel::{Counter, Histogram, Metrics};
 
 /// Counters and histograms of a rank process.
@@ -58,35 +58,35 @@
     }
 
     /// Counts a note of the node.
-    pub fn note(&self, note: &RankNote) {
+    pub fn note(&self, note: &RankEvent) {
         let kind = match note {
-            RankNote::Leads(_) => "leads",
-            RankNote::Follows(_) => "follows",
-            RankNote::Resigns { .. } => "resigns",
-            RankNote::CarriesOn { .. } => "carries_on",
-            RankNote::ActsFor { .. } => "acts_for",
-            RankNote::ActsForNoMore { .. } => "acts_for_no_more",
-            RankNote::NewEpoch(_) => "group_formed",
-            RankNote::Holding { .. } => "hold_wanted",
-            RankNote::InUse { .. } => "placement_in_use",
-            RankNote::GivenUp { .. } => "placement_given_up",
-            RankNote::Recovers { .. } => "held_pass_found",
-            RankNote::Released { .. } => "pass_let_go",
+            RankEvent::LeadershipTaken(_) => "leads",
+            RankEvent::LeaderFollowed(_) => "follows",
+            RankEvent::Resigned { .. } => "resigns",
+            RankEvent::PlanResumed { .. } => "carries_on",
+            RankEvent::RemoteAccessStarted { .. } => "acts_for",
+            RankEvent::RemoteAccessEnded { .. } => "acts_for_no_more",
+            RankEvent::EpochChanged(_) => "group_formed",
+            RankEvent::HoldRequested { .. } => "hold_wanted",
+            RankEvent::PlacementInUse { .. } => "placement_in_use",
+            RankEvent::PlanAbandoned { .. } => "placement_given_up",
+            RankEvent::HeldPassFound { .. } => "held_pass_found",
+            RankEvent::PassReleased { .. } => "pass_let_go",
         };
 
         self.decisions.add(kind);
 
-        if let RankNote::Released { placement_no, held_for, .. } = note {
+        if let RankEvent::PassReleased { placement_no, held_for, .. } = note {
             self.holds.note(*held_for, if placement_no.is_some() { "armed" } else { "nobody" });
         }
     }
 
     /// Counts an order.
-    pub fn note_order(&self, end: OrderEnd) {
+    pub fn note_order(&self, end: OrderOutcome) {
         self.orders.add(match end {
-            OrderEnd::Taken => "taken",
-            OrderEnd::Refused => "refused",
-            OrderEnd::Unknown => "unanswered",
+            OrderOutcome::Taken => "taken",
+            OrderOutcome::Refused => "refused",
+            OrderOutcome::Unknown => "unanswered",
         });
     }
 }
--- a/grebedeck/src/rank/driver.rs
+++ b/grebedeck/src/rank/driver.rs
@@ -13,7 +13,7 @@
 use futures::{FutureExt, StreamExt};
 use grebedeck_core::{Moment, Result};
 use grebedeck_experts::balancer::CountDelta;
-use grebedeck_experts::rollout::{Action, Message, Node, NodeOptions, RankNote};
+use grebedeck_experts::rollout::{Action, Message, Node, NodeOptions, RankEvent};
 use grebedeck_experts::{RankEngine, RankReport};
 use grebedeck_gateway::{SiteStore, TargetEntry, TargetListing};
 use grebedeck_kernel::{Clock, Metrics, log};
@@ -113,7 +113,7 @@
         let socket = UdpSocket::bind((settings.ip, settings.group_port)).await?;
         let life = rand::random();
         let mut node = Node::new(settings.target_address, life, now, NodeOptions::default());
-        node.await_others();
+        node.await_peers();
         let metrics = Metrics::default();
         let counters = Counters::new(&metrics);
         let state: Rc<RefCell<Value>> = Rc::default();
@@ -222,14 +222,14 @@
             self.call(|engine| async move { Outcome::Counts(engine.counts().await) });
         }
 
-        if self.list_due.is_now(now) && self.node.wants_others(now) {
+        if self.list_due.is_now(now) && self.node.needs_peers(now) {
             self.list_due = Due::UnderWay;
             self.ask_store(|store| async move {
                 Outcome::Listed(store.read_targets().await.map(|snapshot| snapshot.value))
             });
         }
 
-        let may_plan = self.node.is_leading() || self.node.is_named();
+        let may_plan = self.node.is_leading() || self.node.is_early_candidate();
 
         if self.site_due.is_now(now)
             && may_plan
@@ -325,7 +325,7 @@
             return;
         }
 
-        self.node.mark_elsewhere(datagram.from, self.clock.now());
+        self.node.mark_foreign(datagram.from, self.clock.now());
 
         if let Body::Rollout(Message::Lead { .. }) = datagram.body {
             self.send(datagram.from, Body::Elsewhere).await;
@@ -370,7 +370,7 @@
             },
             Outcome::Ordered { rank, order, end } => {
                 self.counters.note_order(end);
-                self.node.on_order(rank, &order, end);
+                self.node.on_order_outcome(rank, &order, end);
                 // What the order changed shows in the engine's own words.
                 self.report_due = match self.report_due {
                     Due::At(_) => Due::At(now),
@@ -434,7 +434,7 @@
         let entries = targets.into_iter().map(|listed| listed.entry);
         let others: BTreeSet<SocketAddr> = entries.filter(is_other).map(|t| t.address).collect();
 
-        self.node.set_others(others);
+        self.node.set_peers(others);
     }
 
     pub(super) async fn carry_out(&mut self, actions: Vec<Action<SocketAddr>>) {
@@ -442,12 +442,12 @@
             match action {
                 Action::Send { to, message } => self.send(to, Body::Rollout(message)).await,
                 Action::Order { rank, order } => self.order(rank, order),
-                Action::Ask { rank } => self.ask(rank),
+                Action::ReadReport { rank } => self.ask(rank),
                 Action::ReadPart => {
                     self.call(|engine| async move { Outcome::Part(engine.part().await) });
                 }
-                Action::Note(note) => {
-                    if matches!(note, RankNote::NewEpoch(_)) {
+                Action::Event(note) => {
+                    if matches!(note, RankEvent::EpochChanged(_)) {
                         self.balance.restart();
                     }
 
--- a/grebedeck/src/rank/planning.rs
+++ b/grebedeck/src/rank/planning.rs
@@ -5,7 +5,7 @@
 
 use grebedeck_core::Moment;
 use grebedeck_experts::balancer::is_counted;
-use grebedeck_experts::engine::DEALT_PLACEMENT;
+use grebedeck_experts::engine::INITIAL_PLACEMENT;
 use grebedeck_experts::{RankCounts, RankEngine};
 use grebedeck_gateway::SiteStore;
 use grebedeck_kernel::log;
@@ -86,7 +86,7 @@
 
     pub(super) fn keep_first_placement(&mut self, ranks: u16) {
         if let Some(first) = self.balance.first_placement(ranks) {
-            self.node.keep_placement(DEALT_PLACEMENT, Arc::new(first));
+            self.node.store_placement(INITIAL_PLACEMENT, Arc::new(first));
         }
     }
 
@@ -114,7 +114,7 @@
     /// Gets how soon the engine's counts are read again.
     pub(super) fn count_period(&self) -> Duration {
         let usual = millis(self.settings.balance.count_ms);
-        let is_dealt = self.node.report().is_some_and(|r| r.placement == DEALT_PLACEMENT);
+        let is_dealt = self.node.report().is_some_and(|r| r.placement == INITIAL_PLACEMENT);
 
         if is_dealt { usual.min(OPENING_POLL) } else { usual }
     }
--- a/grebedeck/src/rank/rested.rs
+++ b/grebedeck/src/rank/rested.rs
@@ -10,7 +10,7 @@
 
 use grebedeck_core::{Error, Expert, Result};
 use grebedeck_experts::engine::PlacementNo;
-use grebedeck_experts::{OrderEnd, RankAction, RankCounts, RankEngine, RankOrder, RankReport};
+use grebedeck_experts::{OrderOutcome, RankAction, RankCounts, RankEngine, RankOrder, RankReport};
 use grebedeck_gateway::Rest;
 use grebedeck_kernel::log::LineBudget;
 use grebedeck_kernel::{Clock, log};
@@ -100,7 +100,7 @@
         self.call(self.engine.part()).await
     }
 
-    async fn order(&self, order: &RankOrder) -> Result<OrderEnd> {
+    async fn order(&self, order: &RankOrder) -> Result<OrderOutcome> {
         // A pass that is not let go keeps the whole group waiting, however long this engine rests.
         if matches!(order.action, RankAction::Release { .. }) {
             return self.engine.order(order).await;
--- a/grebedeck/src/rank/show.rs
+++ b/grebedeck/src/rank/show.rs
@@ -5,7 +5,7 @@
 
 use async_executor::LocalExecutor;
 use async_std::net::TcpListener;
-use grebedeck_experts::rollout::RankNote;
+use grebedeck_experts::rollout::RankEvent;
 use grebedeck_http::RequestHead;
 use grebedeck_kernel::{Metrics, log};
 use serde_json::Value;
@@ -29,30 +29,36 @@
 }
 
 /// Logs what a node has decided or found.
-pub fn log_note(note: RankNote) {
+pub fn log_note(note: RankEvent) {
     match note {
-        RankNote::Leads(term) => log::info!("leads the group", kv: { round = term.round }),
-        RankNote::Follows(term) => {
+        RankEvent::LeadershipTaken(term) => {
+            log::info!("leads the group", kv: { round = term.round })
+        }
+        RankEvent::LeaderFollowed(term) => {
             log::info!("follows a leader", kv: { round = term.round, rank = term.rank });
         }
-        RankNote::Resigns { next } => log::info!("hands the lead on", kv: { next }),
-        RankNote::CarriesOn { placement_no } => {
+        RankEvent::Resigned { next } => log::info!("hands the lead on", kv: { next }),
+        RankEvent::PlanResumed { placement_no } => {
             log::info!("goes on with a placement", kv: { placement_no });
         }
-        RankNote::ActsFor { rank } => log::warn!("acts for a silent rank", kv: { rank }),
-        RankNote::ActsForNoMore { rank } => log::info!("acts for a rank no more", kv: { rank }),
-        RankNote::NewEpoch(epoch) => log::info!("group formed", kv: { epoch }),
-        RankNote::Holding { placement_no, pass, holder } => {
+        RankEvent::RemoteAccessStarted { rank } => {
+            log::warn!("acts for a silent rank", kv: { rank })
+        }
+        RankEvent::RemoteAccessEnded { rank } => {
+            log::info!("acts for a rank no more", kv: { rank })
+        }
+        RankEvent::EpochChanged(epoch) => log::info!("group formed", kv: { epoch }),
+        RankEvent::HoldRequested { placement_no, pass, holder } => {
             log::info!("pass to be held", kv: { placement_no, pass, holder });
         }
-        RankNote::InUse { placement_no, pass } => {
+        RankEvent::PlacementInUse { placement_no, pass } => {
             log::info!("placement in use", kv: { placement_no, pass });
         }
-        RankNote::GivenUp { placement_no, reason } => {
+        RankEvent::PlanAbandoned { placement_no, reason } => {
             log::warn!("placement given up", kv: { placement_no, reason });
         }
-        RankNote::Recovers { pass } => log::warn!("held pass found", kv: { pass }),
-        RankNote::Released { pass, placement_no, held_for } => {
+        RankEvent::HeldPassFound { pass } => log::warn!("held pass found", kv: { pass }),
+        RankEvent::PassReleased { pass, placement_no, held_for } => {
             let (held_ms, armed_no) = (held_for.as_millis() as u64, placement_no.unwrap_or(0));
             log::info!("pass let go", kv: { pass, armed_no, held_ms });
         }
--- a/grebedeck/tests/rested.rs
+++ b/grebedeck/tests/rested.rs
@@ -8,7 +8,7 @@
 use grebedeck::rank::rested::Rested;
 use grebedeck_core::{Error, Expert, Result};
 use grebedeck_experts::engine::PlacementNo;
-use grebedeck_experts::{OrderEnd, RankAction, RankCounts, RankEngine, RankOrder, RankReport};
+use grebedeck_experts::{OrderOutcome, RankAction, RankCounts, RankEngine, RankOrder, RankReport};
 
 const REST: Duration = Duration::from_millis(60);
 
@@ -42,7 +42,7 @@
         self.refuse()
     }
 
-    async fn order(&self, _: &RankOrder) -> Result<OrderEnd> {
+    async fn order(&self, _: &RankOrder) -> Result<OrderOutcome> {
         self.refuse()
     }
 }
