--- a/grebedeck-experts/src/engine.rs
+++ b/grebedeck-experts/src/engine.rs
@@ -1,9 +1,9 @@
-//! What a rank's engine says of itself, and what it can be told.
+//! The interface to a rank's engine: its reports, and the orders that it accepts.
 //!
-//! All ranks of a group begin each pass together. A rank takes a prepared placement at the pass that
-//! it was armed for; a pass that some rank holds begins for none of them. Nothing lapses by itself, and
-//! an order may get no answer and yet be carried out, seconds later and after newer ones. All of it is
-//! forgotten when the group forms anew, in a higher epoch.
+//! All ranks of a group begin each pass together. A rank switches to a prepared placement at the
+//! pass that it was armed for; a pass that any rank holds begins at none of them. Nothing expires,
+//! and an order without an answer may still be carried out, seconds later and after newer ones. All
+//! of this state is lost when the group forms anew, in a higher epoch.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -16,32 +16,33 @@
 
 /// Number of a group's pass.
 pub type PassNo = u64;
-/// Number of a placement; an engine takes only higher ones than it has had.
+/// Number of a placement; an engine accepts only higher ones than it has had.
 pub type PlacementNo = u64;
-/// The placement that every formation of a group starts with, whose experts are dealt in turn.
+/// The placement that a group starts with in every epoch, with the experts dealt to the ranks in
+/// turn.
 pub const INITIAL_PLACEMENT: PlacementNo = 0;
 /// Number of the group's formation.
 pub type GroupEpoch = u64;
 
-/// A placement that a rank takes as a pass begins.
+/// A placement that a rank switches to when a pass begins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Armed {
     /// The placement.
     pub placement_no: PlacementNo,
-    /// The pass.
+    /// The first pass with it.
     pub pass: PassNo,
 }
 
-/// What a rank's engine says of itself.
+/// State of a rank's engine, as it reports it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RankReport {
     /// The group; a service may have several.
     pub group: GroupId,
-    /// The group's formation.
+    /// The group's epoch.
     pub epoch: GroupEpoch,
     /// Its rank in the group.
     pub rank: Rank,
-    /// The group's ranks.
+    /// Number of ranks in the group.
     pub size: Rank,
     /// Whether the group makes passes.
     pub is_open: bool,
@@ -49,32 +50,32 @@
     pub pass: PassNo,
     /// The placement in use.
     pub placement: PlacementNo,
-    /// The placement whose weights have been copied.
+    /// The placement whose weights have been copied, if any.
     pub prepared: Option<PlacementNo>,
-    /// The placement that it will take.
+    /// The placement that it is armed for, if any.
     pub armed: Option<Armed>,
-    /// The pass that does not begin before it is let go.
+    /// The pass that does not begin before it is released, if any.
     pub held: Option<PassNo>,
-    /// Requests that run.
+    /// Number of running requests.
     pub running: u32,
-    /// Requests that wait.
+    /// Number of waiting requests.
     pub waiting: u32,
-    /// Time that it takes, relative to a normal rank.
+    /// Time that it needs for the same work, relative to a normal rank; above 1 is slower.
     pub pace: f32,
-    /// Unix milliseconds of its start by its own clock, where it tells them.
+    /// Start of the engine in Unix milliseconds by its own clock, if it reports one.
     pub born_ms: Option<u64>,
 }
 
 /// An order to a rank's engine.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RankOrder {
-    /// The formation that the order is for; in another one it is refused.
+    /// The epoch that the order is for; in another one it is refused.
     pub epoch: GroupEpoch,
-    /// What to do.
+    /// The action to take.
     pub action: RankAction,
 }
 
-/// What a rank's engine can be told.
+/// An action that a rank's engine can be ordered to take.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum RankAction {
     /// Copy the weights that a placement needs.
@@ -84,29 +85,29 @@
         /// The placement.
         placement: Arc<Placement>,
     },
-    /// Take a prepared placement as a pass begins.
+    /// Switch to a prepared placement when a pass begins.
     Arm {
         /// The placement's number.
         placement_no: PlacementNo,
         /// The first pass with it.
         pass: PassNo,
     },
-    /// Do not begin a pass.
+    /// Keep a pass from beginning.
     Hold {
         /// The pass.
         pass: PassNo,
     },
-    /// Begin a pass that was held.
+    /// Let a held pass begin.
     Release {
         /// The pass.
         pass: PassNo,
     },
 }
 
-/// What became of an order.
+/// Outcome of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OrderOutcome {
-    /// It was taken, or is in effect already.
+    /// It was accepted, or is in effect already.
     Taken,
     /// The engine's state does not allow it; it will not be carried out.
     Refused,
@@ -114,33 +115,34 @@
     Unknown,
 }
 
-/// How often a rank's requests have chosen each expert since the engine started.
+/// How often each expert was chosen for a rank's requests since its engine started.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RankCounts {
-    /// The group's formation.
+    /// The group's epoch.
     pub epoch: GroupEpoch,
     /// The last pass that was counted.
     pub pass: PassNo,
-    /// Counts, set by set.
+    /// Counts per expert, set by set.
     pub chosen: Vec<u64>,
-    /// Unix milliseconds of the engine's start by its own clock, where it tells them.
+    /// Start of the engine in Unix milliseconds by its own clock, if it reports one.
     pub born_ms: Option<u64>,
 }
 
-/// A rank's engine.
+/// A client of a rank's engine.
 pub trait RankEngine: Clone + 'static {
-    /// Gets the engine at another address.
+    /// Returns a client of the engine at another address.
     fn at(&self, address: SocketAddr) -> Self;
 
-    /// Reads what it says of itself.
+    /// Reads its state.
     fn report(&self) -> impl Future<Output = Result<RankReport>>;
 
-    /// Reads how often experts were chosen.
+    /// Reads how often each expert was chosen.
     fn counts(&self) -> impl Future<Output = Result<RankCounts>>;
 
-    /// Reads which experts it holds, by set, and of which placement.
+    /// Reads which experts it holds, by set, and the number of their placement.
     fn part(&self) -> impl Future<Output = Result<(PlacementNo, Vec<Vec<Expert>>)>>;
 
-    /// Gives an order. Fails where the engine has certainly not taken it, as it wants to be left alone.
+    /// Sends an order. Fails if the engine has certainly not accepted it, as it asked for a pause
+    /// between calls.
     fn order(&self, order: &RankOrder) -> impl Future<Output = Result<OrderOutcome>>;
 }
--- a/grebedeck-experts/src/placement.rs
+++ b/grebedeck-experts/src/placement.rs
@@ -1,4 +1,5 @@
-//! Which rank holds which experts, on engines that spread an expert's tokens evenly over its ranks.
+//! Placements of experts on ranks, for engines that spread an expert's tokens evenly over the ranks
+//! that hold it.
 
 use grebedeck_core::{Expert, Rank};
 use serde::{Deserialize, Serialize};
@@ -13,7 +14,7 @@
     pub sets: Vec<SetPlacement>,
 }
 
-/// What one rank holds of one set in a new placement.
+/// The experts of one rank and set in a new placement.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RankChange {
     /// The set.
@@ -25,7 +26,7 @@
 }
 
 impl Placement {
-    /// Gets what differs in the next placement, which is a small part of it as a rule.
+    /// Returns the changes that lead to the next placement, usually a small part of it.
     pub fn changes_to(&self, next: &Placement) -> Vec<RankChange> {
         let mut changes = Vec::new();
 
@@ -41,7 +42,8 @@
         changes
     }
 
-    /// Gives the placement that changes lead to, or `None` where they do not fit this one.
+    /// Returns the placement with changes applied, or `None` if they name a set or rank that it
+    /// lacks.
     pub fn with(&self, changes: &[RankChange]) -> Option<Placement> {
         let mut next = self.clone();
 
@@ -53,7 +55,7 @@
         Some(next)
     }
 
-    /// Makes the placement that engines start with: experts are dealt to the ranks in turn.
+    /// Returns the placement that engines start with: experts are dealt to the ranks in turn.
     pub fn round_robin(ranks: Rank, sets: usize, experts: Expert) -> Self {
         let held_by = |rank: Rank| (rank..experts).step_by(usize::from(ranks)).collect();
         let set: SetPlacement = (0..ranks).map(held_by).collect();
@@ -61,7 +63,7 @@
         Placement { sets: vec![set; sets] }
     }
 
-    /// Puts a placement together from what each rank holds, in the order of ranks.
+    /// Assembles a placement from the part of each rank, in the order of ranks.
     pub fn from_parts<'a>(parts: impl Iterator<Item = &'a Vec<Vec<Expert>>>) -> Self {
         let mut sets: Vec<SetPlacement> = Vec::new();
 
@@ -76,26 +78,26 @@
         Placement { sets }
     }
 
-    /// Gets what a rank holds, by set.
+    /// Returns the part of a rank, by set.
     pub fn part_of(&self, rank: Rank) -> Vec<Vec<Expert>> {
         let held = |set: &SetPlacement| set.get(usize::from(rank)).cloned().unwrap_or_default();
 
         self.sets.iter().map(held).collect()
     }
 
-    /// Gets the number of ranks.
+    /// Returns the number of ranks.
     pub fn ranks(&self) -> Rank {
         self.sets.first().map_or(0, |set| set.len() as Rank)
     }
 
-    /// Gets the number of sets, and of experts in each.
+    /// Returns the number of sets, and of experts in each.
     pub fn shape(&self) -> (u16, Expert) {
         let highest = self.sets.iter().flatten().flatten().max();
 
         (self.sets.len() as u16, highest.map_or(0, |e| e + 1))
     }
 
-    /// Gets the number of experts that ranks must copy to get from this placement to the next.
+    /// Returns the number of experts that ranks must copy to get from this placement to the next.
     pub fn copies_to(&self, next: &Placement) -> usize {
         let copies = |(before, after): (&SetPlacement, &SetPlacement)| -> usize {
             let ranks = before.iter().zip(after);
@@ -105,7 +107,7 @@
         self.sets.iter().zip(&next.sets).map(copies).sum()
     }
 
-    /// Gets the load of the busiest rank relative to the mean, averaged over the sets.
+    /// Returns the load of the busiest rank relative to the mean, averaged over the sets.
     pub fn skew(&self, popularity: &[Vec<f32>], costs: &[f32]) -> f32 {
         let skews = self.sets.iter().zip(popularity).map(|(set, p)| set_skew(set, p, costs));
         let sum: f32 = skews.sum();
@@ -114,7 +116,7 @@
     }
 }
 
-/// Gets the number of ranks that hold each expert.
+/// Returns the number of ranks that hold each expert.
 pub fn replica_counts(set: &SetPlacement, experts: usize) -> Vec<u32> {
     let mut replica_counts = vec![0; experts];
 
@@ -125,7 +127,7 @@
     replica_counts
 }
 
-/// Gets the time of each rank, for the experts' popularity and the ranks' costs.
+/// Returns the relative time of each rank, from the experts' popularity and the ranks' costs.
 pub fn rank_times(set: &SetPlacement, popularity: &[f32], costs: &[f32]) -> Vec<f32> {
     let replica_counts = replica_counts(set, popularity.len());
     let share = |e: &Expert| popularity[usize::from(*e)] / replica_counts[usize::from(*e)] as f32;
--- a/grebedeck-experts/src/rollout.rs
+++ b/grebedeck-experts/src/rollout.rs
@@ -1,28 +1,33 @@
-//! Rolling a placement out to all ranks of a group that makes its passes together.
+//! Rolls a new placement out to all ranks of a group, so that all of them use it from the same pass
+//! on.
 //!
-//! # Rule
+//! # Invariant
 //!
-//! Every rank must have the same placement as a pass begins. So a pass is held at one rank before any
-//! rank is armed for it, and it is let go only when every rank's own engine says that it is armed, or
-//! when it is certain that none is. Orders that are carried out late do no harm: by then their pass has
-//! begun, and the engine refuses them. Orders name the group's formation, so none of them outlives it.
+//! Every rank must have the same placement when a pass begins. A pass is therefore held at one rank
+//! before any rank is armed for it, and released only when every rank's engine has confirmed that
+//! it is armed, or when it is certain that none is. An order that an engine carries out late does
+//! no harm: its pass has begun by then, and the engine refuses it. Orders name the group's epoch,
+//! so none of them outlives a re-formation of the group.
 //!
 //! # Roles
 //!
-//! - The *leader* decides which placement comes next, and has every rank copy its weights. A node
-//!   promises not to follow an earlier leader before it follows a later one. A node that hears from no
-//!   leader takes the lead after a time that grows with its rank.
-//! - The *holder* is the node beside the engine that holds the pass. The leader has it held at another
-//!   rank than its own. The holder alone decides what becomes of the pass: it asks all nodes whether they
-//!   are ready, has all of them arm, and lets go. A node that is silent when it is asked costs no more
-//!   than this plan, and the group does not stand still for it.
-//! - Each *node* takes part in one changeover at a time, and keeps its own rank's engine in step.
-//!   Some pass on what a plan changes, since a leader's link does not take it for all of them.
+//! - The *leader* decides which placement comes next, and has every rank copy the weights it needs.
+//!   A node that promises to follow a later leader no longer follows an earlier one. A node that
+//!   does not hear from a leader takes the lead after a timeout that grows with its rank.
+//! - The *holder* is the node beside the engine that holds the pass, at another rank than the
+//!   leader's. The holder alone decides about the pass: it asks all nodes whether they are ready,
+//!   has all of them arm, and releases the pass. If a node does not answer while it is asked, only
+//!   this plan is given up; the group does not stall.
+//! - Each *node* takes part in one changeover at a time and keeps its own rank's engine up to date.
+//!   Some nodes relay what a plan changes, since the leader's link is too small to send it to all
+//!   of them.
 //!
-//! A hold is ordered as far ahead as the newest changeovers took, so that nobody waits for it as a rule.
+//! A hold is ordered as many passes ahead as recent changeovers needed, so that the group normally
+//! does not wait for it.
 //!
-//! A hold does not lapse. A holder that was killed finds it in its engine when it is back, asks all
-//! nodes, or the engines of those that do not answer, whether anybody is armed, and goes on from there.
+//! A hold never expires. A holder that was killed finds the hold in its engine after its restart,
+//! asks all nodes, or the engines of those that do not answer, whether any rank is armed, and
+//! continues from there.
 
 mod absent;
 pub mod action;
--- a/grebedeck-experts/src/rollout/absent.rs
+++ b/grebedeck-experts/src/rollout/absent.rs
@@ -1,49 +1,51 @@
-//! A rank whose process is away: its engine is read and prepared from afar, so that placements go on changing.
+//! Changes placements while one rank's process is away, by reading and ordering its engine
+//! remotely.
 //!
-//! What counts is the engine's own word. One rank at a time is treated so, in a group where a majority is left:
-//! no second leader can have all the others follow meanwhile, and what may be impossible at that one rank is found out
-//! before anybody else is armed. Reading and ordering from afar has its price, so it is done only for a node
-//! that has been silent for as long as a status is believed.
+//! Only the engine's own report counts. At most one absent rank is handled this way, in a group
+//! where the others are a majority: no second leader can then have all others follow it, and
+//! whatever the absent rank cannot do is found out before any other rank is armed. Remote access
+//! costs extra calls, so it begins only once the node has been silent for the lifetime of a status.
 
 use std::time::Duration;
 
 use grebedeck_core::{Moment, Rank};
 
 use super::action::{Action, RankEvent};
-use super::lead::{Lead, Plan};
+use super::lead::{Leadership, Plan};
 use super::message::Status;
 use super::node::Node;
 use super::options::NodeOptions;
 use crate::engine::{PlacementNo, RankAction, RankOrder, RankReport};
 
-/// Least ranks of a group that goes on without one: the others are a majority.
-const LEAST_RANKS: Rank = 3;
-/// Pause between two readings of the engine while nothing of it is waited for: two of them within a status's lifetime.
-const IDLE_READ_PAUSE: Duration = Duration::from_millis(300);
-/// Pause between two orders to copy: longer than a copy takes, which an engine does not tell of.
-const PREPARE_PAUSE: Duration = Duration::from_millis(500);
+/// Smallest group that continues without one rank: the others are a majority.
+const MIN_RANKS: Rank = 3;
+/// Interval between readings of an idle absent engine: two fit into the lifetime of a status.
+const IDLE_READ_INTERVAL: Duration = Duration::from_millis(300);
+/// Delay before a copy order is repeated: longer than a copy takes, since engines do not report
+/// that one is in progress.
+const PREPARE_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// What was done for the absent rank.
+/// Progress of remote access to the absent rank.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Help {
+pub(super) struct RemoteAccess {
     rank: Option<Rank>,
-    asked_at: Option<Moment>,
+    read_at: Option<Moment>,
     prepared: Option<(PlacementNo, Moment)>,
 }
 
-impl Lead {
-    /// Gets the rank whose node is silent, where it is the only one.
+impl Leadership {
+    /// Returns the rank whose node is silent, if it is the only one.
     pub(super) fn absent(
         &self,
         own: &RankReport,
         now: Moment,
         options: &NodeOptions,
     ) -> Option<Rank> {
-        if own.size < LEAST_RANKS {
+        if own.size < MIN_RANKS {
             return None;
         }
 
-        let heard_at = |rank: &Rank| self.heard_at.get(rank).copied().unwrap_or(self.began_at);
+        let heard_at = |rank: &Rank| self.heard_at.get(rank).copied().unwrap_or(self.started_at);
         let is_silent =
             |rank: &Rank| *rank != own.rank && now >= heard_at(rank) + options.status_lifetime;
         let mut silent = (0..own.size).filter(is_silent);
@@ -52,8 +54,8 @@
         silent.next().is_none().then_some(first)
     }
 
-    /// Takes in what the absent rank's engine says, in place of its node.
-    fn note_afar(&mut self, report: RankReport, now: Moment) {
+    /// Records a report that was read from the absent rank's engine, in place of its node's status.
+    fn record_remote_report(&mut self, report: RankReport, now: Moment) {
         let status = Status {
             promised: self.term,
             refused: None,
@@ -67,8 +69,8 @@
         self.statuses.insert(status.report.rank, (status, now));
     }
 
-    /// Tells whether the absent rank's engine has gone on to a later placement than a wanted one, which it will
-    /// never copy then.
+    /// Whether the absent rank's engine has moved on to a later placement, and thus will never copy
+    /// this one.
     pub(super) fn is_overtaken(&self, rank: Rank, placement_no: PlacementNo) -> bool {
         let report = self.statuses.get(&rank).map(|(status, _)| &status.report);
 
@@ -77,26 +79,27 @@
 }
 
 impl<A: Clone + Ord> Node<A> {
-    /// Gets the rank whose node is away, where the node leads.
+    /// Returns the absent rank, if this node leads.
     pub(super) fn absent(&self, now: Moment) -> Option<Rank> {
         let (lead, own) = (self.lead.as_ref()?, self.report.as_ref()?);
 
         lead.absent(own, now, &self.options)
     }
 
-    /// Takes in what another rank's engine says, where the node leads and that rank's node is away.
-    pub(super) fn take_report_from_afar(&mut self, report: RankReport, now: Moment) {
+    /// Handles a report read from another rank's engine; ignored unless this node leads and that
+    /// rank is absent.
+    pub(super) fn handle_remote_report(&mut self, report: RankReport, now: Moment) {
         let (Some(lead), Some(own)) = (&mut self.lead, &self.report) else {
             return;
         };
         let is_same = report.group == own.group && report.epoch == own.epoch;
 
         if is_same && lead.absent(own, now, &self.options) == Some(report.rank) {
-            lead.note_afar(report, now);
+            lead.record_remote_report(report, now);
         }
     }
 
-    /// Has the absent rank's engine read, and copy what the plan wants.
+    /// Has the absent rank's engine read, and has it copy the planned placement.
     pub(super) fn step_absent(
         &mut self,
         own: &RankReport,
@@ -107,12 +110,14 @@
         let Some(lead) = &mut self.lead else {
             return;
         };
-        // Without its address, nothing can be asked of it.
+        // Without its address, the engine cannot be reached.
         let absent = lead.absent(own, now, &options).filter(|r| self.roster.contains_key(r));
 
-        if lead.help.rank != absent {
-            let before =
-                std::mem::replace(&mut lead.help, Help { rank: absent, ..Help::default() });
+        if lead.remote.rank != absent {
+            let before = std::mem::replace(
+                &mut lead.remote,
+                RemoteAccess { rank: absent, ..RemoteAccess::default() },
+            );
             let ends = before.rank.map(|rank| Action::Event(RankEvent::RemoteAccessEnded { rank }));
             let begins = absent.map(|rank| Action::Event(RankEvent::RemoteAccessStarted { rank }));
             actions.extend(ends.into_iter().chain(begins));
@@ -123,10 +128,10 @@
         };
 
         let is_at_rest = matches!(lead.plan, Plan::Idle) && lead.first_bound(own) != Some(rank);
-        let read_pause = if is_at_rest { IDLE_READ_PAUSE } else { options.order_retry_delay };
+        let read_interval = if is_at_rest { IDLE_READ_INTERVAL } else { options.order_retry_delay };
 
-        if lead.help.asked_at.is_none_or(|at| now >= at + read_pause) {
-            lead.help.asked_at = Some(now);
+        if lead.remote.read_at.is_none_or(|at| now >= at + read_interval) {
+            lead.remote.read_at = Some(now);
             actions.push(Action::ReadReport { rank });
         }
 
@@ -134,17 +139,17 @@
             return;
         };
         let is_known = lead.statuses.contains_key(&rank);
-        let was_ordered = |(no, at)| no == placement_no && now < at + PREPARE_PAUSE;
+        let was_ordered = |(no, at)| no == placement_no && now < at + PREPARE_RETRY_DELAY;
 
         if !is_known
             || lead.has_prepared(rank, placement_no)
-            || lead.help.prepared.is_some_and(was_ordered)
+            || lead.remote.prepared.is_some_and(was_ordered)
         {
             return;
         }
 
         if let Some(placement) = self.placements.get(&placement_no).cloned() {
-            lead.help.prepared = Some((placement_no, now));
+            lead.remote.prepared = Some((placement_no, now));
             let action = RankAction::Prepare { placement_no, placement };
             let order = RankOrder { epoch: own.epoch, action };
             actions.push(Action::Order { rank, order });
--- a/grebedeck-experts/src/rollout/action.rs
+++ b/grebedeck-experts/src/rollout/action.rs
@@ -1,4 +1,4 @@
-//! What a node wants done, and what it has found.
+//! Actions that a node requests, and events that it reports.
 
 use std::time::Duration;
 
@@ -7,60 +7,60 @@
 use super::message::{Message, Term};
 use crate::engine::{PassNo, PlacementNo, RankOrder};
 
-/// What a node wants done.
+/// An action that a node requests from its caller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action<A> {
     /// Send a message.
     Send {
-        /// The node that gets it.
+        /// The receiving node.
         to: A,
         /// The message.
         message: Message<A>,
     },
-    /// Give an order to a rank's engine, the node's own or another's.
+    /// Send an order to a rank's engine, the node's own or another's.
     Order {
         /// The rank.
         rank: Rank,
         /// The order.
         order: RankOrder,
     },
-    /// Read what another rank's engine says.
+    /// Read the report of another rank's engine.
     ReadReport {
         /// The rank.
         rank: Rank,
     },
-    /// Read which experts the own engine holds.
+    /// Read which experts the node's own engine holds.
     ReadPart,
-    /// Something that operators may want to know.
+    /// Log and count an event.
     Event(RankEvent),
 }
 
-/// What a node has decided or found, for logs.
+/// A decision or finding of a node, for logs and metrics.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RankEvent {
-    /// It takes the lead.
+    /// The node has taken the lead.
     LeadershipTaken(Term),
-    /// It gives the lead up, as the process is to stop.
+    /// The node has given up the lead because its process is about to stop.
     Resigned {
-        /// The rank that it calls on.
+        /// The rank that is to lead next.
         next: Rank,
     },
-    /// It goes on with what the leader before it wanted.
+    /// A new leader has resumed the plan of the leader before it.
     PlanResumed {
         /// The placement.
         placement_no: PlacementNo,
     },
-    /// It has a rank's engine read and prepared from afar, as its process is away.
+    /// The node has begun to read and order the engine of an absent rank.
     RemoteAccessStarted {
         /// The rank.
         rank: Rank,
     },
-    /// It does so no more.
+    /// Remote access to the rank has ended.
     RemoteAccessEnded {
         /// The rank.
         rank: Rank,
     },
-    /// It follows a leader.
+    /// The node has started to follow a leader.
     LeaderFollowed(Term),
     /// The group has formed anew; all plans are void.
     EpochChanged(u64),
@@ -80,25 +80,25 @@
         /// The first pass with it.
         pass: PassNo,
     },
-    /// A plan was given up before any rank was armed.
+    /// A plan was abandoned before any rank was armed.
     PlanAbandoned {
         /// The placement.
         placement_no: PlacementNo,
-        /// Why.
+        /// The reason, as it is logged.
         reason: &'static str,
     },
-    /// The own engine holds a pass that the node has no memory of.
+    /// The node's engine holds a pass that the node does not know of, as after a restart.
     HeldPassFound {
         /// The pass.
         pass: PassNo,
     },
-    /// A held pass was let go.
+    /// A held pass was released.
     PassReleased {
         /// The pass.
         pass: PassNo,
         /// The placement that every rank was armed for, if any.
         placement_no: Option<PlacementNo>,
-        /// Time since all were asked.
+        /// Time since the last phase of the changeover began.
         held_for: Duration,
     },
 }
--- a/grebedeck-experts/src/rollout/arming.rs
+++ b/grebedeck-experts/src/rollout/arming.rs
@@ -1,39 +1,39 @@
-//! How long it takes from ordering a hold until all ranks are armed.
+//! Estimates the time from ordering a hold until all ranks are armed.
 //!
-//! A pass that begins later than that can be held without anybody waiting for it; one that begins much later
-//! keeps a worse placement in use. The time follows the group's size, its links and the load of the processes, so it
-//! is taken from the newest changeovers.
+//! If a hold is ordered for an earlier pass than that, the group waits for it; if for a much later
+//! one, a worse placement stays in use for longer. The time depends on the group's size, its links
+//! and the load of the processes, so it is estimated from the most recent changeovers.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Changeovers that are looked at: some come each few seconds, and a slow one is to be forgotten soon. A mean
-/// with two deviations over eight of them allowed 0.35 to 0.6 s after a first one of 0.24 s, where 0.16 s were
-/// needed, by the logs of a day with 192 ranks.
-const NEWEST: usize = 4;
-/// Part that is allowed on top of the longest of them.
-const MARGIN: f64 = 0.1;
+/// Changeovers that are considered. There is one every few seconds, and a slow one has to drop out
+/// soon. The mean plus two deviations of eight allowed 0.35 to 0.6 s after an initial one of 0.24
+/// s, where 0.16 s were needed (192 ranks).
+const MAX_SAMPLES: usize = 4;
+/// Margin on top of the longest of them, as a ratio.
+const MARGIN_RATIO: f64 = 0.1;
 
-/// The times that were seen.
+/// Durations of the most recent changeovers.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ArmingTime {
-    newest: VecDeque<Duration>,
+    samples: VecDeque<Duration>,
 }
 
 impl ArmingTime {
-    /// Takes in how long a changeover took.
-    pub(super) fn note(&mut self, took: Duration) {
-        if self.newest.len() == NEWEST {
-            self.newest.pop_front();
+    /// Records the duration of a changeover.
+    pub(super) fn record(&mut self, duration: Duration) {
+        if self.samples.len() == MAX_SAMPLES {
+            self.samples.pop_front();
         }
 
-        self.newest.push_back(took);
+        self.samples.push_back(duration);
     }
 
-    /// Gets the time to allow for; `first` while none was seen.
-    pub(super) fn expected(&self, first: Duration) -> Duration {
-        let longest = self.newest.iter().max();
+    /// Returns the time to allow for a changeover; `initial` while none has been recorded.
+    pub(super) fn expected(&self, initial: Duration) -> Duration {
+        let longest = self.samples.iter().max();
 
-        longest.map_or(first, |longest| longest.mul_f64(1.0 + MARGIN))
+        longest.map_or(initial, |longest| longest.mul_f64(1.0 + MARGIN_RATIO))
     }
 }
--- a/grebedeck-experts/src/rollout/bulk.rs
+++ b/grebedeck-experts/src/rollout/bulk.rs
@@ -1,8 +1,9 @@
-//! Long words, which wait until the link has time for them.
+//! Rate-limited sending of bulk messages.
 //!
-//! What a plan changes, and a whole placement, are thousands of times as long as a sign of life. A link that is
-//! full drops what comes next, whatever it is. So a node sends short words at once and long ones at a part of
-//! the smallest link's rate, and what is out of date by then not at all.
+//! The changes of a plan, and whole placements, are thousands of times as long as a heartbeat. A
+//! link whose queue is full drops every message that comes next. Short messages are therefore sent
+//! at once, and bulk messages at a fraction of the smallest link's rate; those that are outdated by
+//! then are dropped.
 
 use std::collections::VecDeque;
 
@@ -13,29 +14,30 @@
 use super::node::Node;
 use crate::placement::Placement;
 
-/// Bytes a second of long words: half of the smallest link that is known, 6 Mbit/s. The other half is for short ones.
+/// Rate of bulk messages: half of the smallest link known, 6 Mbit/s. The other half is for short
+/// messages.
 pub(super) const BULK_BYTES_PER_S: f64 = 375_000.0;
-/// Bytes of long words that may go at once after a pause: half of what waits at such a link before it drops,
-/// 60 KB as seen on one of 8 Mbit/s.
+/// Bulk bytes that may be sent at once after a pause: half of what a link queues before it drops
+/// messages, 60 KB on one of 8 Mbit/s.
 pub(super) const BULK_BURST_BYTES: f64 = 32_000.0;
-/// Bytes of a long word beside its experts: numbers, addresses, headers of the network.
+/// Bytes of a bulk message apart from its experts: numbers, addresses, network headers.
 const FRAME_BYTES: usize = 120;
-/// Bytes of a node's address in a word that is to be passed on.
+/// Bytes of a node's address in a message to be relayed.
 const ADDRESS_BYTES: usize = 8;
-/// Highest number that the datagrams' encoding writes as a single byte; others take three.
+/// Largest number that the encoding of datagrams writes as one byte; larger ones take three.
 const ONE_BYTE_MAX: Expert = 250;
 
-/// Long words that wait, and what the link has time for.
+/// Queue of bulk messages with a token bucket.
 #[derive(Clone, Debug)]
 pub(super) struct BulkQueue<A> {
     waiting: VecDeque<(A, Message<A>)>,
     credit_bytes: f64,
-    at: Moment,
+    refilled_at: Moment,
 }
 
 impl<A> BulkQueue<A> {
     pub(super) fn new(now: Moment) -> Self {
-        BulkQueue { waiting: VecDeque::new(), credit_bytes: BULK_BURST_BYTES, at: now }
+        BulkQueue { waiting: VecDeque::new(), credit_bytes: BULK_BURST_BYTES, refilled_at: now }
     }
 
     pub(super) fn is_empty(&self) -> bool {
@@ -46,8 +48,9 @@
         self.waiting.push_back((to, message));
     }
 
-    /// Takes the time for a word that is sent now or never.
-    pub(super) fn take_time(&mut self, len_bytes: usize, now: Moment) -> bool {
+    /// Spends the credit for a message that is sent now or not at all; returns whether it may be
+    /// sent.
+    pub(super) fn try_reserve(&mut self, len_bytes: usize, now: Moment) -> bool {
         self.refill(now);
         let may_send = self.waiting.is_empty() && self.credit_bytes > 0.0;
 
@@ -58,8 +61,8 @@
         may_send
     }
 
-    /// Gives the words that the link has time for now.
-    fn take_due(
+    /// Removes the outdated messages and returns those that may be sent now.
+    fn pop_due(
         &mut self,
         now: Moment,
         is_current: impl Fn(&Message<A>) -> bool,
@@ -79,15 +82,15 @@
     }
 
     fn refill(&mut self, now: Moment) {
-        let passed_s = now.saturating_sub(self.at).as_secs_f64();
+        let passed_s = now.saturating_sub(self.refilled_at).as_secs_f64();
         let credit_bytes = self.credit_bytes + passed_s * BULK_BYTES_PER_S;
         self.credit_bytes = credit_bytes.min(BULK_BURST_BYTES);
-        self.at = now;
+        self.refilled_at = now;
     }
 }
 
 impl<A: Clone + Ord> Node<A> {
-    /// Sends what waits, as far as the link has time.
+    /// Sends queued bulk messages as far as the rate allows.
     pub(super) fn send_bulk(&mut self, now: Moment, actions: &mut Vec<Action<A>>) {
         if self.bulk.is_empty() {
             return;
@@ -99,7 +102,7 @@
             directive_of(message).is_none_or(|d| d.term == promised && d.revision >= newest)
         };
 
-        for (to, message) in self.bulk.take_due(now, is_current) {
+        for (to, message) in self.bulk.pop_due(now, is_current) {
             actions.push(Action::Send { to, message });
         }
     }
@@ -113,26 +116,26 @@
 }
 
 fn message_bytes<A>(message: &Message<A>) -> usize {
-    let others = match message {
+    let relay_bytes = match message {
         Message::Relay { to, .. } => to.len() * ADDRESS_BYTES,
         _ => 0,
     };
 
-    others + directive_of(message).map_or(FRAME_BYTES, directive_bytes)
+    relay_bytes + directive_of(message).map_or(FRAME_BYTES, directive_bytes)
 }
 
-/// Gets the length of a word with what a plan changes.
+/// Estimated length of a directive with the changes of its plan, in bytes.
 pub(super) fn directive_bytes(directive: &Directive) -> usize {
     let Stage::Prepare { changes: Some(changes), .. } = &directive.stage else {
         return FRAME_BYTES;
     };
-    // The set, the rank in up to three bytes, and how many experts there are.
+    // The set, the rank in up to three bytes, and the number of experts.
     let held: usize = changes.iter().map(|c| 5 + experts_bytes(&c.experts)).sum();
 
     FRAME_BYTES + held
 }
 
-/// Gets the length of a word with a whole placement.
+/// Estimated length of a message with a whole placement, in bytes.
 pub(super) fn placement_bytes(placement: &Placement) -> usize {
     let held = placement.sets.iter().flatten();
 
--- a/grebedeck-experts/src/rollout/changeover.rs
+++ b/grebedeck-experts/src/rollout/changeover.rs
@@ -1,11 +1,12 @@
-//! A changeover: what the node beside the engine that holds a pass does until it lets the pass go.
+//! The changeover as its holder drives it, until the held pass is released.
 //!
-//! It alone decides. First every node has to answer that it is there and ready; if one is silent or
-//! refuses, the pass is let go and nobody was armed. Then all ranks are armed, and there is no way back:
-//! the pass is let go when every rank's own engine says that it is armed. A rank whose node is away is armed first,
-//! from afar: as long as nobody else is armed, the pass can be let go if that rank's engine has gone on to
-//! another placement, which nobody can have promised for it. A holder that has lost its
-//! memory asks all nodes, or their engines, whether anybody is armed, and goes on from there.
+//! The holder alone decides. First, every node has to answer that it is present and ready; if one
+//! is silent or refuses, the pass is released with no rank armed. Then all ranks are armed, which
+//! cannot be undone: the pass is released once every rank's engine reports that it is armed. An
+//! absent rank is armed first, remotely: as long as no other rank is armed, the pass can still be
+//! released if that rank's engine has moved on to another placement, which no node can rule out on
+//! its behalf. A holder that has lost its state in a restart asks all nodes, or their engines,
+//! whether any rank is armed, and continues from there.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -15,26 +16,26 @@
 use super::options::NodeOptions;
 use crate::engine::{Armed, GroupEpoch, PassNo, PlacementNo, RankAction, RankOrder, RankReport};
 
-/// What a holder has got to know and to do.
+/// State of a changeover at its holder.
 #[derive(Clone, Debug)]
-pub(super) struct Holding {
+pub(super) struct HeldPass {
     epoch: GroupEpoch,
     size: Rank,
     own: Rank,
     round: u64,
     term: Term,
     pass: PassNo,
-    /// The rank whose node is away.
+    /// The rank whose node is absent.
     absent: Option<Rank>,
     phase: Phase,
-    since: Moment,
+    phase_since: Moment,
     answered: BTreeSet<Rank>,
     reports: BTreeMap<Rank, RankReport>,
-    /// Other ranks whose engines have taken an order to arm: what they say of themselves to another machine is some
-    /// hundred ms old, and the group would stand still for as long.
-    armed_afar: BTreeSet<Rank>,
-    helped_at: BTreeMap<Rank, Moment>,
-    told_at: Option<Moment>,
+    /// Other ranks whose engines have accepted an order to arm. Their reports to other machines lag
+    /// by some hundred milliseconds, and the group would stall for as long.
+    armed_remotely: BTreeSet<Rank>,
+    contacted_at: BTreeMap<Rank, Moment>,
+    sent_at: Option<Moment>,
     released_at: Option<Moment>,
 }
 
@@ -42,52 +43,52 @@
 enum Phase {
     /// Every node is asked whether it is ready for a placement.
     Ready(PlacementNo),
-    /// The rank whose node is away is to be armed, before any other.
+    /// The absent rank is to be armed, before any other.
     ArmAbsent(PlacementNo),
-    /// The holder has no memory of this pass, and asks whether anybody is armed.
+    /// The holder has lost its state of this pass, and asks whether any rank is armed.
     Recover,
     /// Every rank is to be armed.
     Arm(PlacementNo),
-    /// The pass is to be let go.
+    /// The pass is to be released.
     Release,
 }
 
-/// What a leader wants a pass held for.
+/// A hold that the leader requests.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct WantedHold {
+pub(super) struct RequestedHold {
     pub(super) placement_no: PlacementNo,
     pub(super) pass: PassNo,
-    /// The rank whose node is away.
+    /// The rank whose node is absent.
     pub(super) absent: Option<Rank>,
 }
 
-/// What a holder wants done.
+/// An action that a holder requests.
 #[derive(Clone, Debug, PartialEq)]
-pub(super) enum HoldingAction {
-    /// Tell all other nodes, or only those of some ranks.
-    Tell(Changeover, Option<BTreeSet<Rank>>),
-    /// Give an order to a rank's engine.
+pub(super) enum HeldPassAction {
+    /// Send to all other nodes, or only to those of some ranks.
+    Send(Changeover, Option<BTreeSet<Rank>>),
+    /// Send an order to a rank's engine.
     Order(Rank, RankOrder),
-    /// Read a rank's engine.
-    Ask(Rank),
+    /// Read the report of a rank's engine.
+    ReadReport(Rank),
 }
 
-impl Holding {
+impl HeldPass {
     /// Starts the changeover to a placement.
     pub(super) fn new(
         own: &RankReport,
         term: Term,
-        wanted: WantedHold,
+        requested: RequestedHold,
         round: u64,
         now: Moment,
     ) -> Self {
-        let WantedHold { placement_no, pass, absent } = wanted;
-        let holding = Self::in_phase(Phase::Ready(placement_no), own, term, pass, round, now);
+        let RequestedHold { placement_no, pass, absent } = requested;
+        let held_pass = Self::in_phase(Phase::Ready(placement_no), own, term, pass, round, now);
 
-        Holding { absent, ..holding }
+        HeldPass { absent, ..held_pass }
     }
 
-    /// Starts to find out what a held pass was held for.
+    /// Starts to find out why a pass is held, after a restart of the holder.
     pub(super) fn recover(
         own: &RankReport,
         term: Term,
@@ -98,7 +99,7 @@
         Self::in_phase(Phase::Recover, own, term, pass, round, now)
     }
 
-    /// Lets a pass go that nobody can be armed for.
+    /// Releases a pass that no rank can be armed for.
     pub(super) fn release(
         own: &RankReport,
         term: Term,
@@ -117,7 +118,7 @@
         round: u64,
         now: Moment,
     ) -> Self {
-        Holding {
+        HeldPass {
             epoch: own.epoch,
             size: own.size,
             own: own.rank,
@@ -126,12 +127,12 @@
             pass,
             absent: None,
             phase,
-            since: now,
+            phase_since: now,
             answered: BTreeSet::from([own.rank]),
             reports: BTreeMap::from([(own.rank, own.clone())]),
-            armed_afar: BTreeSet::new(),
-            helped_at: BTreeMap::new(),
-            told_at: None,
+            armed_remotely: BTreeSet::new(),
+            contacted_at: BTreeMap::new(),
+            sent_at: None,
             released_at: None,
         }
     }
@@ -144,17 +145,17 @@
         self.round
     }
 
-    /// Tells whether ranks may be armed for the pass.
+    /// Whether ranks may be armed for the pass.
     pub(super) fn is_arming(&self) -> bool {
         matches!(self.phase, Phase::Arm(_) | Phase::ArmAbsent(_) | Phase::Recover)
     }
 
-    pub(super) fn since(&self) -> Moment {
-        self.since
+    pub(super) fn phase_since(&self) -> Moment {
+        self.phase_since
     }
 
-    /// Takes in a node's answer.
-    pub(super) fn note_answer(&mut self, accepts: bool, report: RankReport, now: Moment) {
+    /// Records a node's answer.
+    pub(super) fn record_answer(&mut self, accepts: bool, report: RankReport, now: Moment) {
         if report.epoch != self.epoch {
             return;
         }
@@ -164,11 +165,11 @@
         }
 
         self.answered.insert(report.rank);
-        self.note_report(report);
+        self.record_report(report);
     }
 
-    /// Takes in what a rank's engine says.
-    pub(super) fn note_report(&mut self, report: RankReport) {
+    /// Records the report of a rank's engine.
+    pub(super) fn record_report(&mut self, report: RankReport) {
         if report.epoch != self.epoch {
             return;
         }
@@ -183,59 +184,61 @@
         self.reports.insert(report.rank, report);
     }
 
-    /// Takes in that a rank's engine has taken an order to arm it.
-    pub(super) fn note_armed(&mut self, rank: Rank, order: &RankOrder) {
+    /// Records that a rank's engine has accepted an order to arm it.
+    pub(super) fn record_armed(&mut self, rank: Rank, order: &RankOrder) {
         let RankAction::Arm { placement_no, pass } = order.action else {
             return;
         };
-        let is_wanted = match self.phase {
+        let is_expected = match self.phase {
             Phase::Arm(no) | Phase::ArmAbsent(no) => no == placement_no,
             _ => false,
         };
 
-        // What is armed stays so until the pass begins or the group forms anew.
-        if is_wanted && order.epoch == self.epoch && pass == self.pass && rank != self.own {
-            self.armed_afar.insert(rank);
+        // A rank stays armed until the pass begins or the group forms anew.
+        if is_expected && order.epoch == self.epoch && pass == self.pass && rank != self.own {
+            self.armed_remotely.insert(rank);
         }
     }
 
-    /// Does what is due; the pass has not begun, and the own engine holds it unless it was let go.
-    pub(super) fn step(&mut self, now: Moment, options: &NodeOptions) -> Vec<HoldingAction> {
+    /// Returns the actions that are due. The pass has not begun, and the holder's engine holds it
+    /// unless it was released.
+    pub(super) fn step(&mut self, now: Moment, options: &NodeOptions) -> Vec<HeldPassAction> {
         self.decide(now, options);
         let mut actions = Vec::new();
 
         match self.phase {
-            Phase::Ready(_) => self.ask_absent(now, options, &mut actions),
+            Phase::Ready(_) => self.read_absent(now, options, &mut actions),
             Phase::ArmAbsent(placement_no) => {
                 self.arm_absent(placement_no, now, options, &mut actions);
             }
-            Phase::Recover => self.ask_silent(now, options, &mut actions),
+            Phase::Recover => self.read_silent(now, options, &mut actions),
             Phase::Arm(placement_no) => self.arm(placement_no, now, options, &mut actions),
-            Phase::Release => self.let_go(now, options, &mut actions),
+            Phase::Release => self.release_pass(now, options, &mut actions),
         }
 
         let changeover_retry_delay = options.for_all(options.changeover_retry_delay, self.size);
 
-        if self.told_at.is_none_or(|at| now >= at + changeover_retry_delay) {
-            let missing = self.told_at.map(|_| self.missing());
-            self.told_at = Some(now);
+        if self.sent_at.is_none_or(|at| now >= at + changeover_retry_delay) {
+            let missing = self.sent_at.map(|_| self.missing());
+            self.sent_at = Some(now);
 
             if missing.as_ref().is_none_or(|missing| !missing.is_empty()) {
-                actions.push(HoldingAction::Tell(self.message(), missing));
+                actions.push(HeldPassAction::Send(self.message(), missing));
             }
         }
 
         actions
     }
 
-    /// Gets the ranks that have not yet done what this phase waits for, which are told again. Each word
-    /// again to all of 192 fills a link of 6 Mbit/s for 30 ms, as long as their answers need.
+    /// Returns the ranks that have not yet done what this phase waits for. Only they are sent the
+    /// message again: one message to all of 192 ranks fills a link of 6 Mbit/s for 30 ms, the time
+    /// that their answers need.
     fn missing(&self) -> BTreeSet<Rank> {
         let is_missing = |rank: &Rank| match self.phase {
             Phase::Ready(_) => !self.answered.contains(rank),
             Phase::Recover => !self.reports.contains_key(rank),
             Phase::Arm(placement_no) => !self.is_armed_at(*rank, placement_no),
-            // Nodes that the word did not reach ask, or see the pass begin.
+            // Nodes that miss this message ask the holder, or see the pass begin.
             Phase::Release | Phase::ArmAbsent(_) => false,
         };
 
@@ -254,13 +257,13 @@
             Phase::ArmAbsent(placement_no) if self.is_absent_armed(placement_no) => {
                 self.set_phase(Phase::Arm(placement_no), now);
             }
-            // It will never be armed for this placement, and nobody else is.
-            Phase::ArmAbsent(placement_no) if self.is_absent_lost(placement_no) => {
+            // The engine will never be armed for this placement, and no other rank is armed.
+            Phase::ArmAbsent(placement_no) if self.is_absent_overtaken(placement_no) => {
                 self.set_phase(Phase::Release, now);
             }
-            // Nobody is armed yet, so a node that is silent costs nothing but this plan.
+            // No rank is armed yet, so a silent node costs only this plan.
             Phase::Ready(_)
-                if now >= self.since + options.for_all(options.ready_timeout, self.size) =>
+                if now >= self.phase_since + options.for_all(options.ready_timeout, self.size) =>
             {
                 self.set_phase(Phase::Release, now);
             }
@@ -278,22 +281,22 @@
         }
     }
 
-    /// Tells whether a holder without memory may act on what engines say: once somebody is armed, or the held pass is
-    /// the next one. An order to arm that its earlier life gave may be carried out later, and is refused as soon
-    /// as the pass has begun.
+    /// Whether a holder that lost its state may act on the engines' reports: once a rank is armed,
+    /// or once the held pass is the next one. An order to arm from before the restart may be
+    /// carried out later still, and is refused as soon as the pass has begun.
     fn may_decide(&self) -> bool {
         self.armed_for_pass().is_some() || self.is_next()
     }
 
-    /// Tells whether the held pass is the next one.
+    /// Whether the held pass is the next one.
     fn is_next(&self) -> bool {
         self.reports.get(&self.own).is_some_and(|own| own.pass + 1 >= self.pass)
     }
 
     fn set_phase(&mut self, phase: Phase, now: Moment) {
         self.phase = phase;
-        self.since = now;
-        self.told_at = None;
+        self.phase_since = now;
+        self.sent_at = None;
     }
 
     fn has_all_answers(&self) -> bool {
@@ -309,7 +312,7 @@
     fn is_armed_at(&self, rank: Rank, placement_no: PlacementNo) -> bool {
         let target = Armed { placement_no, pass: self.pass };
 
-        self.armed_afar.contains(&rank)
+        self.armed_remotely.contains(&rank)
             || self.reports.get(&rank).is_some_and(|r| r.armed == Some(target))
     }
 
@@ -321,19 +324,25 @@
         self.absent.is_none_or(|rank| self.is_armed_at(rank, placement_no))
     }
 
-    /// Tells whether the absent rank's engine has copied a later placement in place of the wanted one. Engines take
-    /// only higher numbers, so an order to arm it that is still on its way will be refused.
-    fn is_absent_lost(&self, placement_no: PlacementNo) -> bool {
+    /// Whether the absent rank's engine has copied a later placement in place of the planned one.
+    /// Engines accept only increasing numbers, so an order to arm that is still on its way will be
+    /// refused.
+    fn is_absent_overtaken(&self, placement_no: PlacementNo) -> bool {
         let report = self.absent.and_then(|rank| self.reports.get(&rank));
 
         report.is_some_and(|r| r.prepared > Some(placement_no) || r.placement > placement_no)
     }
 
-    fn ask_absent(&mut self, now: Moment, options: &NodeOptions, actions: &mut Vec<HoldingAction>) {
+    fn read_absent(
+        &mut self,
+        now: Moment,
+        options: &NodeOptions,
+        actions: &mut Vec<HeldPassAction>,
+    ) {
         if let Some(rank) = self.absent.filter(|rank| !self.answered.contains(rank))
-            && self.may_help(rank, now, options)
+            && self.may_contact(rank, now, options)
         {
-            actions.push(HoldingAction::Ask(rank));
+            actions.push(HeldPassAction::ReadReport(rank));
         }
     }
 
@@ -342,80 +351,93 @@
         placement_no: PlacementNo,
         now: Moment,
         options: &NodeOptions,
-        actions: &mut Vec<HoldingAction>,
+        actions: &mut Vec<HeldPassAction>,
     ) {
-        // A holder that is killed now lets the pass go when it is back, if it finds nobody armed. By then an order
-        // that is carried out late has to be too late.
+        // A holder that is killed now and finds no rank armed after its restart releases the pass.
+        // An order that is carried out late has to be refused by then.
         if let Some(rank) = self.absent.filter(|_| self.is_next())
-            && self.may_help(rank, now, options)
+            && self.may_contact(rank, now, options)
         {
-            self.arm_from_afar(rank, placement_no, actions);
+            self.arm_remotely(rank, placement_no, actions);
         }
     }
 
-    fn arm_from_afar(
+    fn arm_remotely(
         &self,
         rank: Rank,
         placement_no: PlacementNo,
-        actions: &mut Vec<HoldingAction>,
+        actions: &mut Vec<HeldPassAction>,
     ) {
         let action = RankAction::Arm { placement_no, pass: self.pass };
         let order = RankOrder { epoch: self.epoch, action };
-        actions.push(HoldingAction::Order(rank, order));
+        actions.push(HeldPassAction::Order(rank, order));
 
         if rank != self.own {
-            actions.push(HoldingAction::Ask(rank));
+            actions.push(HeldPassAction::ReadReport(rank));
         }
     }
 
     /// Reads the engines of nodes that do not answer.
-    fn ask_silent(&mut self, now: Moment, options: &NodeOptions, actions: &mut Vec<HoldingAction>) {
-        if now < self.since + options.for_all(options.remote_access_delay, self.size) {
+    fn read_silent(
+        &mut self,
+        now: Moment,
+        options: &NodeOptions,
+        actions: &mut Vec<HeldPassAction>,
+    ) {
+        if now < self.phase_since + options.for_all(options.remote_access_delay, self.size) {
             return;
         }
 
         for rank in 0..self.size {
-            if !self.reports.contains_key(&rank) && self.may_help(rank, now, options) {
-                actions.push(HoldingAction::Ask(rank));
+            if !self.reports.contains_key(&rank) && self.may_contact(rank, now, options) {
+                actions.push(HeldPassAction::ReadReport(rank));
             }
         }
     }
 
-    /// Arms the own rank, and those whose nodes have not done so in time.
+    /// Arms the holder's own rank, and after a delay those whose nodes have not armed theirs.
     fn arm(
         &mut self,
         placement_no: PlacementNo,
         now: Moment,
         options: &NodeOptions,
-        actions: &mut Vec<HoldingAction>,
+        actions: &mut Vec<HeldPassAction>,
     ) {
-        let is_late = now >= self.since + options.for_all(options.remote_access_delay, self.size);
+        let is_late =
+            now >= self.phase_since + options.for_all(options.remote_access_delay, self.size);
 
         for rank in 0..self.size {
             let is_due = rank == self.own || is_late;
 
-            if is_due && !self.is_armed_at(rank, placement_no) && self.may_help(rank, now, options)
+            if is_due
+                && !self.is_armed_at(rank, placement_no)
+                && self.may_contact(rank, now, options)
             {
-                self.arm_from_afar(rank, placement_no, actions);
+                self.arm_remotely(rank, placement_no, actions);
             }
         }
     }
 
-    fn let_go(&mut self, now: Moment, options: &NodeOptions, actions: &mut Vec<HoldingAction>) {
+    fn release_pass(
+        &mut self,
+        now: Moment,
+        options: &NodeOptions,
+        actions: &mut Vec<HeldPassAction>,
+    ) {
         if self.released_at.is_none_or(|at| now >= at + options.order_retry_delay) {
             self.released_at = Some(now);
             let action = RankAction::Release { pass: self.pass };
             let order = RankOrder { epoch: self.epoch, action };
-            actions.push(HoldingAction::Order(self.own, order));
+            actions.push(HeldPassAction::Order(self.own, order));
         }
     }
 
-    fn may_help(&mut self, rank: Rank, now: Moment, options: &NodeOptions) -> bool {
+    fn may_contact(&mut self, rank: Rank, now: Moment, options: &NodeOptions) -> bool {
         let is_due =
-            self.helped_at.get(&rank).is_none_or(|at| now >= *at + options.order_retry_delay);
+            self.contacted_at.get(&rank).is_none_or(|at| now >= *at + options.order_retry_delay);
 
         if is_due {
-            self.helped_at.insert(rank, now);
+            self.contacted_at.insert(rank, now);
         }
 
         is_due
@@ -442,7 +464,7 @@
     }
 }
 
-/// Tells whether an engine can be armed, as it says itself.
+/// Whether an engine can be armed, by its own report.
 fn is_ready(report: &RankReport, placement_no: PlacementNo, pass: PassNo) -> bool {
     let is_bound = report.armed.is_some() || report.held.is_some();
 
--- a/grebedeck-experts/src/rollout/holder.rs
+++ b/grebedeck-experts/src/rollout/holder.rs
@@ -1,17 +1,18 @@
-//! What the node beside the engine that holds a pass does, beyond deciding on it.
+//! What a holder does around the decisions of [`HeldPass`]: starting and ending a changeover, and
+//! carrying its actions to nodes and engines.
 
 use std::collections::BTreeSet;
 
 use grebedeck_core::{Moment, Rank};
 
 use super::action::{Action, RankEvent};
-use super::changeover::{Holding, HoldingAction, WantedHold};
+use super::changeover::{HeldPass, HeldPassAction, RequestedHold};
 use super::message::{Changeover, ChangeoverAnswer, ChangeoverStep, Message, Stage};
 use super::node::Node;
 use crate::engine::RankReport;
 
 impl<A: Clone + Ord> Node<A> {
-    pub(super) fn take_answer(
+    pub(super) fn handle_answer(
         &mut self,
         from: A,
         answer: ChangeoverAnswer,
@@ -28,9 +29,9 @@
 
         self.roster.insert(answer.report.rank, from.clone());
 
-        match &mut self.holding {
-            Some(holding) if holding.round() == answer.round => {
-                holding.note_answer(answer.accepts, answer.report, now);
+        match &mut self.held_pass {
+            Some(held_pass) if held_pass.round() == answer.round => {
+                held_pass.record_answer(answer.accepts, answer.report, now);
             }
             // The node takes part in a changeover that has ended.
             _ if report.held != Some(answer.pass) => {
@@ -48,46 +49,46 @@
         }
     }
 
-    /// Does what the node beside the engine that holds a pass has to do.
-    pub(super) fn step_holding(
+    /// Runs the changeover that this node holds a pass for, if any.
+    pub(super) fn step_held_pass(
         &mut self,
         report: &RankReport,
         now: Moment,
         actions: &mut Vec<Action<A>>,
     ) {
-        self.begin_holding(report, now, actions);
-        let Some(mut holding) = self.holding.take() else {
+        self.begin_held_pass(report, now, actions);
+        let Some(mut held_pass) = self.held_pass.take() else {
             return;
         };
-        let is_over = report.pass >= holding.pass()
-            || (!holding.is_arming() && report.held != Some(holding.pass()));
+        let is_over = report.pass >= held_pass.pass()
+            || (!held_pass.is_arming() && report.held != Some(held_pass.pass()));
 
-        for action in holding.step(now, &self.options) {
+        for action in held_pass.step(now, &self.options) {
             match action {
-                HoldingAction::Tell(changeover, ranks) => {
-                    self.tell_others(changeover, ranks.as_ref(), actions);
+                HeldPassAction::Send(changeover, ranks) => {
+                    self.send_changeover(changeover, ranks.as_ref(), actions);
                 }
-                // What was wanted of engines is void once the pass has begun.
+                // Orders to engines are void once the pass has begun.
                 _ if is_over => {}
-                HoldingAction::Order(rank, order) => actions.push(Action::Order { rank, order }),
-                HoldingAction::Ask(rank) => actions.push(Action::ReadReport { rank }),
+                HeldPassAction::Order(rank, order) => actions.push(Action::Order { rank, order }),
+                HeldPassAction::ReadReport(rank) => actions.push(Action::ReadReport { rank }),
             }
         }
 
         if is_over {
-            self.released = Some(holding.pass());
-            let note = RankEvent::PassReleased {
-                pass: holding.pass(),
+            self.released = Some(held_pass.pass());
+            let event = RankEvent::PassReleased {
+                pass: held_pass.pass(),
                 placement_no: report.armed.map(|a| a.placement_no),
-                held_for: now.saturating_sub(holding.since()),
+                held_for: now.saturating_sub(held_pass.phase_since()),
             };
-            actions.push(Action::Event(note));
+            actions.push(Action::Event(event));
         } else {
-            self.holding = Some(holding);
+            self.held_pass = Some(held_pass);
         }
     }
 
-    pub(super) fn begin_holding(
+    pub(super) fn begin_held_pass(
         &mut self,
         report: &RankReport,
         now: Moment,
@@ -97,7 +98,7 @@
             return;
         };
 
-        if self.holding.is_some() {
+        if self.held_pass.is_some() {
             return;
         }
 
@@ -105,48 +106,49 @@
         let round = self.next_round;
         let term = self.promised;
 
-        self.holding = match self.wanted_hold(report) {
-            // An order that was given again holds a pass once more that is decided already.
+        self.held_pass = match self.requested_hold(report) {
+            // A repeated order has held a pass again that was already decided on.
             _ if self.released == Some(pass) => {
-                Some(Holding::release(report, term, pass, round, now))
+                Some(HeldPass::release(report, term, pass, round, now))
             }
-            // The hold is older than the process, and so may be what an earlier one has begun.
-            _ if !self.saw_unheld => {
+            // The hold is older than the process, so an earlier process may have begun a
+            // changeover.
+            _ if !self.has_seen_unheld => {
                 actions.push(Action::Event(RankEvent::HeldPassFound { pass }));
-                Some(Holding::recover(report, term, pass, round, now))
+                Some(HeldPass::recover(report, term, pass, round, now))
             }
-            Some(wanted)
-                if wanted.pass == pass && self.is_free_for(report, wanted.placement_no) =>
+            Some(requested)
+                if requested.pass == pass && self.is_free_for(report, requested.placement_no) =>
             {
-                Some(Holding::new(report, term, wanted, round, now))
+                Some(HeldPass::new(report, term, requested, round, now))
             }
             _ if now < held_since + self.options.hold_grace => return,
-            // Nobody wants it, and nobody can be armed for it.
-            _ => Some(Holding::release(report, term, pass, round, now)),
+            // No leader requests the hold, and no rank can be armed for it.
+            _ => Some(HeldPass::release(report, term, pass, round, now)),
         };
         self.next_round = self.next_round.wrapping_add(1);
         self.held_since = None;
     }
 
-    /// Gets the pass that the leader wants held at the own engine, and for what.
-    pub(super) fn wanted_hold(&self, report: &RankReport) -> Option<WantedHold> {
+    /// Returns the hold that the leader requests at the node's own engine.
+    pub(super) fn requested_hold(&self, report: &RankReport) -> Option<RequestedHold> {
         match &self.directive.as_ref()?.stage {
             Stage::Hold { placement_no, pass, holder, absent } if *holder == report.rank => {
-                Some(WantedHold { placement_no: *placement_no, pass: *pass, absent: *absent })
+                Some(RequestedHold { placement_no: *placement_no, pass: *pass, absent: *absent })
             }
             _ => None,
         }
     }
 
-    fn tell_others(
+    fn send_changeover(
         &self,
         changeover: Changeover,
         ranks: Option<&BTreeSet<Rank>>,
         actions: &mut Vec<Action<A>>,
     ) {
-        let is_meant = |rank: &Rank| ranks.is_none_or(|ranks| ranks.contains(rank));
+        let is_addressed = |rank: &Rank| ranks.is_none_or(|ranks| ranks.contains(rank));
 
-        for (_, to) in self.known_others().filter(|(rank, _)| is_meant(rank)) {
+        for (_, to) in self.known_peers().filter(|(rank, _)| is_addressed(rank)) {
             let message = Message::Changeover(changeover.clone());
             actions.push(Action::Send { to: to.clone(), message });
         }
--- a/grebedeck-experts/src/rollout/lead.rs
+++ b/grebedeck-experts/src/rollout/lead.rs
@@ -1,4 +1,4 @@
-//! What a leader does: one plan after another, from copying weights to having a pass held.
+//! What a leader does: it runs one plan after another, from copying weights to having a pass held.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -6,7 +6,7 @@
 
 use grebedeck_core::{Expert, Moment, Rank};
 
-use super::absent::Help;
+use super::absent::RemoteAccess;
 use super::action::{Action, RankEvent};
 use super::message::{Directive, Stage, Status, Term};
 use super::node::Node;
@@ -15,20 +15,20 @@
 use crate::engine::{INITIAL_PLACEMENT, PassNo, PlacementNo, RankAction, RankOrder, RankReport};
 use crate::placement::{Placement, RankChange};
 
-/// Bits of a placement's number that tell the starts of the leaders' processes apart.
-const LIFE_BITS: u32 = 20;
-const LIFE_MASK: u64 = (1 << LIFE_BITS) - 1;
+/// Bits of a placement's number that tell incarnations of the leaders' processes apart.
+const INCARNATION_BITS: u32 = 20;
+const INCARNATION_MASK: u64 = (1 << INCARNATION_BITS) - 1;
 
-/// How long an earlier start's word is dropped after one of a later start: datagrams come later than that only when
-/// they are of no use any more.
-const LATE_WORDS: Duration = Duration::from_secs(1);
+/// How long statuses of an earlier start of an engine are dropped after one of a later start.
+/// Datagrams that arrive later than that are too old to be of use anyway.
+const STALE_STATUS_WINDOW: Duration = Duration::from_secs(1);
 
-/// What keeps a leader from a new plan.
+/// What keeps a leader from making a new plan.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PlanBlock {
     /// A plan is under way.
     UnderWay,
-    /// A rank's node does not follow, or was not heard of lately.
+    /// A rank's node does not follow, or was not heard from recently.
     NotFollowing {
         /// The rank.
         rank: Rank,
@@ -40,22 +40,22 @@
     },
 }
 
-/// A leadership.
+/// State of a node while it leads.
 #[derive(Clone, Debug)]
-pub(super) struct Lead {
+pub(super) struct Leadership {
     pub(super) term: Term,
-    pub(super) began_at: Moment,
+    pub(super) started_at: Moment,
     pub(super) revision: u64,
     pub(super) plan: Plan,
-    /// When the plan came to its present stage.
-    since: Moment,
-    told_at: Option<Moment>,
-    /// When some nodes may be told again what the plan changes.
+    /// When the plan entered its present stage.
+    stage_since: Moment,
+    sent_at: Option<Moment>,
+    /// Earliest time at which the plan's changes may be sent again.
     changes_due_at: Option<Moment>,
     pub(super) statuses: BTreeMap<Rank, (Status, Moment)>,
-    /// When each rank's node itself was heard of last.
+    /// When each rank's node itself was last heard from.
     pub(super) heard_at: BTreeMap<Rank, Moment>,
-    pub(super) help: Help,
+    pub(super) remote: RemoteAccess,
 }
 
 #[derive(Clone, Debug)]
@@ -75,82 +75,84 @@
     placement_no: PlacementNo,
     pass: PassNo,
     holder: Rank,
-    /// The rank whose node is away.
+    /// The rank whose node is absent.
     absent: Option<Rank>,
-    /// Holds that were tried for this placement.
+    /// Holds that were attempted for this placement.
     holds: u32,
     ordered_at: Moment,
-    /// Whether the engine is known to have taken the order; given again, it would hold a pass that
-    /// was let go.
-    is_taken: bool,
-    /// When the holder said that it had let the pass go.
+    /// Whether the engine is known to have accepted the order; repeated, it would hold a pass that
+    /// was already released.
+    is_accepted: bool,
+    /// When the holder's engine first reported that the pass is no longer held.
     released_at: Option<Moment>,
 }
 
 impl HoldPlan {
-    /// Takes in what the holder's engine says, which shows when the pass is held and when no more.
-    fn note_holder(&mut self, report: &RankReport, now: Moment) {
+    /// Updates the hold from the report of the holder's engine, which shows when the pass is held
+    /// and when it no longer is.
+    fn record_holder_report(&mut self, report: &RankReport, now: Moment) {
         let is_held = report.held == Some(self.pass);
-        self.is_taken |= is_held;
+        self.is_accepted |= is_held;
 
         if is_held {
             self.released_at = None;
-        } else if self.is_taken && self.released_at.is_none() {
+        } else if self.is_accepted && self.released_at.is_none() {
             self.released_at = Some(now);
         }
     }
 }
 
-impl Lead {
+impl Leadership {
     pub(super) fn new(term: Term, now: Moment) -> Self {
-        Lead {
+        Leadership {
             term,
-            began_at: now,
+            started_at: now,
             revision: 0,
             plan: Plan::Idle,
-            since: now,
-            told_at: None,
+            stage_since: now,
+            sent_at: None,
             changes_due_at: None,
             statuses: BTreeMap::new(),
             heard_at: BTreeMap::new(),
-            help: Help::default(),
+            remote: RemoteAccess::default(),
         }
     }
 
-    pub(super) fn forget_plan(&mut self, now: Moment) {
-        self.began_at = now;
+    pub(super) fn discard_plan(&mut self, now: Moment) {
+        self.started_at = now;
         self.statuses.clear();
         self.heard_at.clear();
         self.revision += 1;
         self.plan = Plan::Idle;
-        self.told_at = None;
+        self.sent_at = None;
     }
 
-    /// Tells whether a word is of an earlier start of a rank's engine than another one that was heard a moment ago.
-    /// Starts are told apart by the engine's clock, which may go back: what is told again and again is believed.
-    fn is_of_earlier_start(&self, status: &Status, now: Moment) -> bool {
+    /// Whether a status is of an earlier start of a rank's engine than one received shortly before.
+    /// Starts are told apart by the engine's clock, which may be set back: an earlier start that
+    /// keeps being reported is accepted in the end.
+    fn is_from_earlier_start(&self, status: &Status, now: Moment) -> bool {
         let Some((known, at)) = self.statuses.get(&status.report.rank) else {
             return false;
         };
         let starts = known.report.born_ms.zip(status.report.born_ms);
 
-        starts.is_some_and(|(known, told)| told < known) && now < *at + LATE_WORDS
+        starts.is_some_and(|(known, reported)| reported < known) && now < *at + STALE_STATUS_WINDOW
     }
 
-    /// Gets the start that a rank's engine has told of last.
+    /// Returns the start time that a rank's engine reported last.
     pub(super) fn born_ms(&self, rank: Rank) -> Option<u64> {
         self.statuses.get(&rank).and_then(|(status, _)| status.report.born_ms)
     }
 
-    pub(super) fn note_status(&mut self, status: Status, now: Moment) {
-        if self.is_of_earlier_start(&status, now) {
+    pub(super) fn record_status(&mut self, status: Status, now: Moment) {
+        if self.is_from_earlier_start(&status, now) {
             return;
         }
 
         if let Plan::Hold(plan) = &mut self.plan
             && status.report.rank == plan.holder
         {
-            plan.note_holder(&status.report, now);
+            plan.record_holder_report(&status.report, now);
         }
 
         self.heard_at.insert(status.report.rank, now);
@@ -159,18 +161,19 @@
 
     pub(super) fn set_plan(&mut self, plan: Plan, now: Moment) {
         self.plan = plan;
-        self.since = now;
+        self.stage_since = now;
         self.revision += 1;
-        self.told_at = None;
+        self.sent_at = None;
         self.changes_due_at = None;
     }
 
-    /// Tells whether every rank's node has promised to follow and was heard of lately.
-    fn follows_all(&self, own: &RankReport, now: Moment, options: &NodeOptions) -> bool {
+    /// Whether every rank's node has promised to follow and was heard from recently.
+    fn all_follow(&self, own: &RankReport, now: Moment, options: &NodeOptions) -> bool {
         self.first_not_following(own, now, options).is_none()
     }
 
-    /// Gets the first rank whose node has not promised to follow, or was not heard of lately.
+    /// Returns the first rank whose node has not promised to follow, or was not heard from
+    /// recently.
     fn first_not_following(
         &self,
         own: &RankReport,
@@ -211,46 +214,47 @@
         Directive { term: self.term, revision: self.revision, epoch: own.epoch, stage }
     }
 
-    /// Gets the rank whose engine is to hold a pass. It is not the leader's own where there is another,
-    /// so that neither of the two machines that act alone can keep the group from going on.
+    /// Returns the rank whose engine is to hold a pass. It is not the leader's own if there is
+    /// another, so that neither the leader's machine nor the holder's can stall the group alone.
     fn holder(&self, own: &RankReport, absent: Option<Rank>) -> Rank {
         let may_hold = |rank: &Rank| *rank != own.rank && Some(*rank) != absent;
 
         (0..own.size).find(may_hold).unwrap_or(own.rank)
     }
 
-    /// Notes that the holder's engine has taken the order to hold a pass.
-    pub(super) fn note_held(&mut self, taken: PassNo) {
+    /// Records that the holder's engine has accepted the order to hold a pass.
+    pub(super) fn record_hold_accepted(&mut self, taken: PassNo) {
         if let Plan::Hold(plan) = &mut self.plan {
-            plan.is_taken |= plan.pass == taken;
+            plan.is_accepted |= plan.pass == taken;
         }
     }
 
-    /// Tells whether a rank has prepared a placement.
+    /// Whether a rank has prepared a placement.
     pub(super) fn has_prepared(&self, rank: Rank, placement_no: PlacementNo) -> bool {
         let status = self.statuses.get(&rank);
 
         status.is_some_and(|(s, _)| s.report.prepared == Some(placement_no))
     }
 
-    /// Notes that what the plan changes was told, and is not to be told again before a moment.
-    pub(super) fn note_changes_told(&mut self, due_at: Moment) {
+    /// Records that the plan's changes were sent, not to be sent again before `due_at`.
+    pub(super) fn record_changes_sent(&mut self, due_at: Moment) {
         self.changes_due_at = Some(due_at);
     }
 
-    /// Tells whether what the plan changes may be told now.
-    pub(super) fn may_tell_changes(&self, now: Moment) -> bool {
+    /// Whether the plan's changes may be sent now.
+    pub(super) fn may_send_changes(&self, now: Moment) -> bool {
         self.changes_due_at.is_none_or(|at| now >= at)
     }
 
-    /// Tells whether few enough nodes do not know the placement in use to be told it one by one.
-    fn is_base_known(&self) -> bool {
+    /// Whether so few nodes lack the placement in use that it can be sent to each of them.
+    fn is_base_widely_known(&self) -> bool {
         let is_unknown = |(status, _): &&(Status, Moment)| !status.knows_placement;
 
         self.statuses.values().filter(is_unknown).count() <= FAN_OUT
     }
 
-    /// Gets the first rank that is bound to a plan, or has another placement in use than the leader's.
+    /// Returns the first rank that is bound to a plan, or uses another placement than the leader's
+    /// rank.
     pub(super) fn first_bound(&self, own: &RankReport) -> Option<Rank> {
         let is_free = |s: &Status| {
             let is_bound = s.is_engaged || s.report.armed.is_some() || s.report.held.is_some();
@@ -260,14 +264,14 @@
         (0..own.size).find(|rank| !self.statuses.get(rank).is_some_and(|(s, _)| is_free(s)))
     }
 
-    /// Tells whether a rank's node has taken a word of this leadership.
-    pub(super) fn has_taken(&self, rank: Rank, revision: u64) -> bool {
+    /// Whether a rank's node has applied a revision of this term's directive.
+    pub(super) fn has_applied(&self, rank: Rank, revision: u64) -> bool {
         let status = self.statuses.get(&rank);
 
         status.is_some_and(|(s, _)| s.promised == self.term && s.revision == revision)
     }
 
-    /// Gets how many nodes a rank's node knows.
+    /// Returns the number of nodes that a rank's node knows.
     pub(super) fn known_to(&self, rank: Rank) -> Rank {
         self.statuses.get(&rank).map_or(0, |(status, _)| status.known)
     }
@@ -278,19 +282,19 @@
 }
 
 impl<A: Clone + Ord> Node<A> {
-    /// Tells whether the node leads, and nothing keeps it from a new plan.
+    /// Whether the node leads, and nothing keeps it from making a new plan.
     pub fn can_plan(&self, now: Moment) -> bool {
         self.is_leading() && self.plan_block(now).is_none()
     }
 
-    /// Tells whether a word is of another start of a rank's engine than the one that its node has told of last.
+    /// Whether a message stems from another start of a rank's engine than the last status.
     pub fn is_of_other_start(&self, rank: Rank, born_ms: Option<u64>) -> bool {
-        let told = self.lead.as_ref().and_then(|lead| lead.born_ms(rank));
+        let known = self.lead.as_ref().and_then(|lead| lead.born_ms(rank));
 
-        told.zip(born_ms).is_some_and(|(told, born_ms)| told != born_ms)
+        known.zip(born_ms).is_some_and(|(known, born_ms)| known != born_ms)
     }
 
-    /// Gets what keeps a leader from a new plan, or `None` where nothing does.
+    /// Returns what keeps a leader from making a new plan, or `None` if nothing does.
     pub fn plan_block(&self, now: Moment) -> Option<PlanBlock> {
         let (lead, own) = (self.lead.as_ref()?, self.report.as_ref()?);
 
@@ -305,7 +309,7 @@
         lead.first_bound(own).map(|rank| PlanBlock::Bound { rank })
     }
 
-    /// Gets what all ranks said last, in order, where the node leads and all are known.
+    /// Returns the latest report of each rank, in order, if the node leads and has all of them.
     pub fn group_reports(&self) -> Option<Vec<RankReport>> {
         let (lead, own) = (self.lead.as_ref()?, self.report.as_ref()?);
         let report = |rank| lead.statuses.get(&rank).map(|(status, _)| status.report.clone());
@@ -313,7 +317,7 @@
         (0..own.size).map(report).collect()
     }
 
-    /// Starts to roll a placement out; only where [`can_plan`](Self::can_plan) says so.
+    /// Starts to roll out a placement; does nothing unless [`can_plan`](Self::can_plan) holds.
     pub fn propose(&mut self, placement: Placement, now: Moment) -> Vec<Action<A>> {
         let mut actions = Vec::new();
 
@@ -328,7 +332,7 @@
         let (base_no, base) = self.base_of_plan(in_use);
         let placement_no = self.next_placement_no();
         let changes = Arc::new(base.changes_to(&placement));
-        self.proposed_no = placement_no;
+        self.last_proposed_no = placement_no;
         self.store_placement(placement_no, Arc::new(placement));
 
         if let Some(lead) = &mut self.lead {
@@ -339,23 +343,24 @@
         actions
     }
 
-    /// Gets the placement that a plan is told to differ from: the one in use, or where many nodes do not know that, the
-    /// first one, which each can work out. With the one in use, 62 of 63 nodes that had lost their memory asked the
-    /// leader for it; its link carried nothing else, and in virtual time 22 nodes took the lead in 22 s.
+    /// Returns the placement that a plan's changes are relative to: the one in use or, if many
+    /// nodes do not know that, the initial one, which every node can compute. With the one in use,
+    /// 62 of 63 nodes that had lost their state requested it from the leader; its link carried
+    /// nothing else, and 22 nodes duration the lead in 22 s of virtual time.
     fn base_of_plan(&mut self, in_use: Arc<Placement>) -> (PlacementNo, Arc<Placement>) {
         let in_use_no = self.report.as_ref().map_or(INITIAL_PLACEMENT, |r| r.placement);
 
-        if self.lead.as_ref().is_some_and(Lead::is_base_known) {
+        if self.lead.as_ref().is_some_and(Leadership::is_base_widely_known) {
             return (in_use_no, in_use);
         }
 
-        self.keep_first_placement(in_use.shape());
+        self.store_initial_placement(in_use.shape());
         let first = self.placements.get(&INITIAL_PLACEMENT).cloned();
 
         first.map_or((in_use_no, in_use), |first| (INITIAL_PLACEMENT, first))
     }
 
-    /// Gets a number above all that any engine has had, and that no other leader draws.
+    /// Returns a number above all that any engine has had, and that no other leader generates.
     fn next_placement_no(&self) -> PlacementNo {
         let seen = |s: &Status| {
             let r = &s.report;
@@ -364,11 +369,13 @@
         };
         let statuses = self.lead.iter().flat_map(|l| l.statuses.values());
         let seen = statuses.filter_map(|(s, _)| seen(s)).max().unwrap_or(0);
-        // A node that led before may have given a number that no engine has had yet.
-        let highest = seen.max(self.proposed_no);
+        // A node that led before may have assigned a number that no engine has had yet.
+        let highest = seen.max(self.last_proposed_no);
 
-        // Two starts of a process may see the same numbers, and must not give one to two placements.
-        (((highest >> LIFE_BITS) + 1) << LIFE_BITS) | (self.life & LIFE_MASK)
+        // Two starts of a process may see the same numbers, and must not give one to two
+        // placements.
+        (((highest >> INCARNATION_BITS) + 1) << INCARNATION_BITS)
+            | (self.incarnation & INCARNATION_MASK)
     }
 
     pub(super) fn step_lead(
@@ -387,13 +394,13 @@
             return;
         };
 
-        if lead.told_at.is_none_or(|at| now >= at + heartbeat_period) {
-            lead.told_at = Some(now);
+        if lead.sent_at.is_none_or(|at| now >= at + heartbeat_period) {
+            lead.sent_at = Some(now);
             let directive = lead.directive(own);
             self.broadcast(directive, now, actions);
         } else if matches!(lead.plan, Plan::Prepare { .. }) {
             let directive = lead.directive(own);
-            self.tell_changes(&directive, now);
+            self.send_changes(&directive, now);
         }
     }
 
@@ -423,7 +430,7 @@
             return;
         };
 
-        // The holder of the leader before has brought it into use.
+        // A holder that the previous leader chose has brought the placement into use.
         if own.placement == placement_no {
             let pass = own.pass;
             lead.set_plan(Plan::Idle, now);
@@ -435,7 +442,7 @@
         let absent = lead.absent(own, now, &options);
         let is_overtaken = absent.is_some_and(|rank| lead.is_overtaken(rank, placement_no));
         let is_refused = is_refused || is_overtaken;
-        let is_late = now >= lead.since + options.prepare_timeout;
+        let is_late = now >= lead.stage_since + options.prepare_timeout;
 
         if is_refused || is_late {
             let reason = if is_refused { "refused" } else { "not prepared in time" };
@@ -448,14 +455,14 @@
 
         let is_free = lead.first_bound(own).is_none();
 
-        if !is_ready || !is_free || !lead.follows_all(own, now, &options) {
+        if !is_ready || !is_free || !lead.all_follow(own, now, &options) {
             return;
         }
 
         self.hold(placement_no, 1, own, now, actions);
     }
 
-    /// Has a pass held some passes ahead.
+    /// Has a pass held, as many passes ahead as arming is expected to take.
     fn hold(
         &mut self,
         placement_no: PlacementNo,
@@ -465,7 +472,7 @@
         actions: &mut Vec<Action<A>>,
     ) {
         let first_arm_time = self.options.for_all(self.options.initial_arm_time, own.size);
-        let passes_ahead = self.passes.ahead(self.arming.expected(first_arm_time), now);
+        let passes_ahead = self.passes.passes_ahead(self.arming.expected(first_arm_time), now);
         let Some(lead) = &mut self.lead else {
             return;
         };
@@ -479,7 +486,7 @@
             absent,
             holds,
             ordered_at: now,
-            is_taken: false,
+            is_accepted: false,
             released_at: None,
         };
         lead.set_plan(Plan::Hold(plan), now);
@@ -501,18 +508,19 @@
         };
 
         if own.placement == placement_no {
-            let took = plan.released_at.unwrap_or(now) - lead.since;
+            let duration = plan.released_at.unwrap_or(now) - lead.stage_since;
             lead.set_plan(Plan::Idle, now);
-            self.arming.note(took);
+            self.arming.record(duration);
             actions.push(Action::Event(RankEvent::PlacementInUse { placement_no, pass }));
         } else if own.pass >= pass && holds < options.max_hold_attempts {
-            // The pass has begun without it, so it is tried once more; no two holds are ever under way.
+            // The pass has begun with the old placement, so another one is held. No two holds are
+            // ever under way at once.
             self.hold(placement_no, holds + 1, own, now, actions);
         } else if own.pass >= pass {
             lead.set_plan(Plan::Idle, now);
             let reason = "not all ready";
             actions.push(Action::Event(RankEvent::PlanAbandoned { placement_no, reason }));
-        } else if !plan.is_taken && now >= plan.ordered_at + options.order_retry_delay {
+        } else if !plan.is_accepted && now >= plan.ordered_at + options.order_retry_delay {
             lead.plan = Plan::Hold(HoldPlan { ordered_at: now, ..plan });
             actions.push(order_hold(own, holder, pass));
         }
--- a/grebedeck-experts/src/rollout/message.rs
+++ b/grebedeck-experts/src/rollout/message.rs
@@ -1,6 +1,6 @@
 //! Messages between the nodes of a group.
 //!
-//! They tell states, not steps: each of them may be lost, doubled or late.
+//! They carry states, not steps: any of them may be lost, duplicated or late.
 
 use std::sync::Arc;
 
@@ -10,7 +10,7 @@
 use crate::engine::{GroupEpoch, PassNo, PlacementNo, RankReport};
 use crate::placement::{Placement, RankChange};
 
-/// Number of a leadership; a later one has a higher number, and no two are equal.
+/// Number of a leadership. A later one compares greater, and no two are equal.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -19,24 +19,25 @@
     pub round: u64,
     /// The leader's rank, which tells leaders of the same round apart.
     pub rank: Rank,
-    /// Drawn for each start of the leader, which may forget the rounds that it has led.
+    /// Random number of the leader's process start: after a restart the leader may not know which
+    /// rounds it has led.
     pub life: u64,
 }
 
-/// What a leader wants of every node.
+/// What a leader requests of every node.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Directive {
-    /// The leadership.
+    /// The leader's term.
     pub term: Term,
-    /// Count of what this leadership has wanted so far, so that a late message is recognised.
+    /// Count of the term's directives, by which a late message is recognised.
     pub revision: u64,
-    /// The group's formation.
+    /// The group's epoch.
     pub epoch: GroupEpoch,
-    /// How far the plan is.
+    /// The stage of the plan.
     pub stage: Stage,
 }
 
-/// How far a plan is.
+/// Stage of a plan.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Stage {
     /// There is no plan.
@@ -45,11 +46,11 @@
     Prepare {
         /// The placement's number.
         placement_no: PlacementNo,
-        /// The placement that it differs from.
+        /// The placement that the changes are relative to.
         base_no: PlacementNo,
-        /// Sets, and experts in each, from which a node knows the placement that engines start with.
+        /// Sets, and experts in each, from which a node computes the initial placement.
         shape: (u16, Expert),
-        /// What differs; left out for nodes that have prepared it.
+        /// The changes; left out for nodes that have prepared the placement.
         changes: Option<Arc<Vec<RankChange>>>,
     },
     /// A pass is to be held at one rank, whose node then brings all ranks to the placement.
@@ -60,44 +61,45 @@
         pass: PassNo,
         /// The rank whose engine holds the pass.
         holder: Rank,
-        /// The rank whose node is away, and whose engine is spoken to from afar.
+        /// The rank whose node is absent, and whose engine is read and ordered remotely.
         absent: Option<Rank>,
     },
 }
 
-/// What the node beside the engine that holds a pass wants of the others.
+/// What a holder requests of the other nodes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Changeover {
-    /// The leadership that wanted the pass held.
+    /// The term of the leader that had the pass held.
     pub term: Term,
-    /// The group's formation.
+    /// The group's epoch.
     pub epoch: GroupEpoch,
     /// The holder's rank.
     pub holder: Rank,
-    /// Drawn for each changeover, so that messages of an earlier life of the holder are recognised.
+    /// Identifies the changeover: counted from the random number of the holder's process start, so
+    /// that messages from before a restart of the holder are recognised.
     pub round: u64,
     /// The pass that is held.
     pub pass: PassNo,
-    /// How far it is.
+    /// The step of the changeover.
     pub step: ChangeoverStep,
 }
 
-/// How far a changeover is.
+/// Step of a changeover.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ChangeoverStep {
-    /// Each node is to say whether it is ready for a placement.
+    /// Each node is to answer whether it is ready for a placement.
     Ready {
         /// The placement's number.
         placement_no: PlacementNo,
     },
-    /// Each node is to say what its engine says; the holder has lost its memory.
+    /// Each node is to send its engine's report; the holder has lost its state.
     Recover,
     /// Each rank is to be armed.
     Arm {
         /// The placement's number.
         placement_no: PlacementNo,
     },
-    /// It has ended.
+    /// The changeover has ended.
     Over,
 }
 
@@ -110,27 +112,27 @@
     pub pass: PassNo,
     /// Whether the node takes part.
     pub accepts: bool,
-    /// What its engine says.
+    /// The report of the node's engine.
     pub report: RankReport,
 }
 
 /// A node's state, as its leader needs it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Status {
-    /// The highest leadership that the node has promised to follow.
+    /// The highest term that the node has promised to follow.
     pub promised: Term,
-    /// What its engine says.
+    /// The report of the node's engine.
     pub report: RankReport,
     /// A placement that its engine has refused to prepare.
     pub refused: Option<PlacementNo>,
-    /// Whether it takes part in a changeover.
+    /// Whether the node takes part in a changeover.
     pub is_engaged: bool,
-    /// Ranks whose nodes it knows, so that its leader tells it of the others only where some are missing.
+    /// Number of ranks whose nodes it knows; the leader sends it the roster only if some are
+    /// missing.
     pub known: Rank,
-    /// The last word of the leadership it has promised to follow that it has taken, counted as the
-    /// leader does; 0 where it has taken none.
+    /// Revision of the last directive it has applied in the promised term; 0 if none.
     pub revision: u64,
-    /// Whether it knows the placement in use, from which a plan may differ.
+    /// Whether it knows the placement in use, to which a plan's changes may be relative.
     pub knows_placement: bool,
 }
 
@@ -142,24 +144,24 @@
 pub enum Message<A> {
     /// From a leader to all, with the nodes that it knows.
     Lead {
-        /// What it wants.
+        /// The directive.
         directive: Directive,
         /// Nodes by rank.
         roster: Vec<(Rank, A)>,
     },
-    /// A leader's word, to be passed on: with many ranks, what a plan changes is longer than the leader's link
-    /// takes for all of them in the time of a pass.
+    /// A leader's directive, to be relayed: with many ranks, a plan's changes are more than the
+    /// leader's link can send to all of them within a pass.
     Relay {
         /// The leader.
         leader: A,
-        /// What it wants.
+        /// The directive.
         directive: Directive,
-        /// The nodes that are to hear of it.
+        /// The nodes to relay the directive to.
         to: Vec<A>,
     },
-    /// From a leader that is to stop, to all.
+    /// From a leader that is about to stop, to all.
     Resign {
-        /// The leadership that ends.
+        /// The term that ends.
         term: Term,
         /// The rank whose node is to take the lead at once.
         next: Rank,
@@ -170,12 +172,12 @@
     Changeover(Changeover),
     /// From a node to a holder.
     Answer(ChangeoverAnswer),
-    /// From a node that does not know what a wanted placement differs from.
+    /// From a node that does not know the placement to which a plan's changes are relative.
     AskPlacement {
         /// The placement's number.
         placement_no: PlacementNo,
     },
-    /// A whole placement that was asked for.
+    /// A whole placement that was requested.
     Placement {
         /// The placement's number.
         placement_no: PlacementNo,
@@ -187,7 +189,7 @@
         /// The placement's number.
         placement_no: PlacementNo,
     },
-    /// What a rank holds of a placement.
+    /// A rank's part of a placement.
     Part {
         /// The placement's number.
         placement_no: PlacementNo,
--- a/grebedeck-experts/src/rollout/options.rs
+++ b/grebedeck-experts/src/rollout/options.rs
@@ -1,50 +1,53 @@
-//! Settings of a node: how long it waits for others, and what it allows for.
+//! Timeouts and allowances of a node.
 
 use std::time::Duration;
 
 use grebedeck_core::Rank;
 
-/// Settings of a node.
+/// Options of a node.
 #[derive(Clone, Copy, Debug)]
 pub struct NodeOptions {
-    /// Silence of the leader after which rank 0 takes the lead: more than two periods of its messages, so
-    /// that a lost one is no reason. With 700 ms, and others asked for only then, the first plan came 1.57 s
-    /// after all processes had been killed; it comes after 0.85 s, by the logs of such a day.
+    /// Silence of the leader after which rank 0 takes the lead: more than two heartbeat periods, so
+    /// that the loss of one does not matter. With 700 ms, and peers looked up only then, the first
+    /// plan came 1.57 s after all processes had been killed, instead of 0.85 s.
     pub election_timeout: Duration,
-    /// What each doubling of the rank's number adds to that, so that rarely two of the first ones claim at
-    /// once, and the last of 192 waits for 0.9 s and not for 23 s.
+    /// Added for each doubling of the rank's number, so that the first ranks rarely claim at once,
+    /// and the last of 192 waits for 0.9 s instead of 23 s.
     pub election_timeout_per_doubling: Duration,
-    /// What ranks wait for beyond that which the leader has not named all nodes to: each of them would have to ask the
-    /// store for the nodes, and there are hundreds.
+    /// Added for ranks to which the leader does not send the roster: each of them, and there may be
+    /// hundreds, would have to read the list of nodes from the store.
     pub late_candidate_delay: Duration,
-    /// How long before it would take the lead a node asks for the other nodes: a call to the store.
+    /// How long before it would take the lead a node looks up its peers: a call to the store.
     pub peer_lookup_lead_time: Duration,
-    /// How often a leader tells what it wants, and a node its status, where nothing changes.
+    /// Interval at which a leader repeats its directive, and a node its status, while nothing
+    /// changes.
     pub heartbeat_period: Duration,
-    /// Age at which a status is no longer believed.
+    /// Age at which a status expires.
     pub status_lifetime: Duration,
-    /// Pause before an order is given again: several times what an engine takes to answer.
+    /// Delay before an order is repeated: several times what an engine takes to answer.
     pub order_retry_delay: Duration,
-    /// How long copying may take before a plan is given up: many times what the links need.
+    /// How long copying may take before a plan is abandoned: many times what the links need.
     pub prepare_timeout: Duration,
-    /// How long nodes have to say that they are ready for a changeover: some round trips, and less than
-    /// the passes ahead take.
+    /// How long nodes may take to answer that they are ready for a changeover: some round trips,
+    /// and less than the passes until the hold take.
     pub ready_timeout: Duration,
-    /// How often a holder tells what it wants while answers are missing.
+    /// Delay before a holder repeats its message while answers are missing.
     pub changeover_retry_delay: Duration,
-    /// How long a node has to arm its own rank before the holder does it.
+    /// How long a holder waits for a node, to arm its own rank or to answer after the holder's
+    /// restart, before it turns to that rank's engine.
     pub remote_access_delay: Duration,
-    /// How long a holder waits for its leader's word on a hold that it sees.
+    /// How long a holder waits for its leader's directive on a hold that it sees.
     pub hold_grace: Duration,
-    /// How long it takes from ordering a hold until all ranks are armed, beside what each rank adds, until
-    /// it was seen: some round trips and readings of the engines. The next pass is held that begins later
-    /// than this: with passes of 0.9 s, as beside a slow rank, 9 in 10 changeovers take 0.73 s at the
-    /// most, and 1.63 s with a hold always two passes ahead, in virtual time.
+    /// Assumed time from ordering a hold until all ranks are armed, until one was measured: some
+    /// round trips and readings of the engines, to which each rank adds its part. The first pass
+    /// that begins later than this is held. With passes of 0.9 s, as beside a slow rank, 9 in 10
+    /// changeovers take at most 0.73 s of virtual time; with a hold always two passes ahead it was
+    /// 1.63 s.
     pub initial_arm_time: Duration,
-    /// What each rank of the group adds to a word to all of them and their answers: some 150 bytes each way,
-    /// 0.4 ms over the smallest link, 6 Mbit/s, and a little for taking them in.
+    /// Added by each rank of the group to a message to all and their answers: some 150 bytes each
+    /// way, 0.4 ms over the smallest link of 6 Mbit/s, and a little for handling them.
     pub round_trip_per_rank: Duration,
-    /// Holds that are tried for one placement before it is given up.
+    /// Holds that are attempted for one placement before it is given up.
     pub max_hold_attempts: u32,
 }
 
@@ -71,7 +74,7 @@
 }
 
 impl NodeOptions {
-    /// Gets a time that a word to all ranks and their answers are allowed, for a group of this size.
+    /// Returns `time` with the allowance for a message to all ranks and their answers.
     pub(super) fn for_all(&self, time: Duration, size: Rank) -> Duration {
         time + self.round_trip_per_rank * u32::from(size)
     }
--- a/grebedeck-experts/src/rollout/parts.rs
+++ b/grebedeck-experts/src/rollout/parts.rs
@@ -1,5 +1,5 @@
-//! Knowing placements: from what a wanted one differs in, from the leader, or put together from what each
-//! engine holds.
+//! How a node gets to know placements: from changes to one it knows, from the leader, or assembled
+//! from the parts that the engines hold.
 
 use std::sync::Arc;
 
@@ -12,16 +12,17 @@
 use crate::engine::{INITIAL_PLACEMENT, PlacementNo, RankReport};
 use crate::placement::{Placement, RankChange};
 
-/// Placements that a node remembers: the one in use, the one before it, and one that was given up.
-const KEPT_PLACEMENTS: usize = 4;
+/// Placements that a node keeps: the initial one, the one in use, the one before it, and one that
+/// was given up.
+const MAX_STORED_PLACEMENTS: usize = 4;
 
 impl<A: Clone + Ord> Node<A> {
-    /// Notes a placement, such as the one that engines start with.
+    /// Stores a placement, such as the initial one, and evicts the oldest ones beyond the limit.
     pub fn store_placement(&mut self, placement_no: PlacementNo, placement: Arc<Placement>) {
         self.placements.insert(placement_no, placement);
         let in_use = self.report.as_ref().map_or(0, |r| r.placement);
 
-        while self.placements.len() > KEPT_PLACEMENTS {
+        while self.placements.len() > MAX_STORED_PLACEMENTS {
             let may_go = |no: &&PlacementNo| **no != INITIAL_PLACEMENT && **no != in_use;
             let oldest = self.placements.keys().find(may_go).copied();
 
@@ -32,15 +33,15 @@
         }
     }
 
-    /// Takes in which experts the own engine holds of a placement.
+    /// Handles the part of a placement that the node's own engine holds.
     pub fn on_own_part(&mut self, placement_no: PlacementNo, part: RankPart) {
         if let Some(rank) = self.report.as_ref().map(|r| r.rank) {
-            self.take_part(placement_no, rank, part);
+            self.add_part(placement_no, rank, part);
         }
     }
 
-    /// Notes the placement that engines start with.
-    pub(super) fn keep_first_placement(&mut self, (sets, experts): (u16, Expert)) {
+    /// Stores the placement that engines start with.
+    pub(super) fn store_initial_placement(&mut self, (sets, experts): (u16, Expert)) {
         let size = self.report.as_ref().map_or(0, |r| r.size);
 
         if size > 0 && !self.placements.contains_key(&0) {
@@ -49,39 +50,41 @@
         }
     }
 
-    /// Puts a wanted placement together from what it differs from, where the node knows that.
-    pub(super) fn take_changes(
+    /// Computes a planned placement from its changes, if the node knows the one they are relative
+    /// to.
+    pub(super) fn apply_changes(
         &mut self,
         placement_no: PlacementNo,
         base_no: PlacementNo,
         changes: &[RankChange],
     ) {
-        let wanted = self.placements.get(&base_no).and_then(|base| base.with(changes));
+        let planned = self.placements.get(&base_no).and_then(|base| base.with(changes));
 
-        match wanted {
-            Some(wanted) => self.store_placement(placement_no, Arc::new(wanted)),
-            // What was kept under this number before is not to be taken for it.
+        match planned {
+            Some(planned) => self.store_placement(placement_no, Arc::new(planned)),
+            // Another placement that was stored under this number must not be mistaken for it.
             None => drop(self.placements.remove(&placement_no)),
         }
     }
 
-    /// Asks the leader for a wanted placement whose base the node does not know.
-    pub(super) fn ask_placement(
+    /// Requests a planned placement from the leader if the node does not know the one its changes
+    /// are relative to.
+    pub(super) fn request_placement(
         &mut self,
         placement_no: PlacementNo,
         now: Moment,
         actions: &mut Vec<Action<A>>,
     ) {
-        let pause = self.options.order_retry_delay;
-        let is_due = self.asked_placement_at.is_none_or(|at| now >= at + pause);
+        let delay = self.options.order_retry_delay;
+        let is_due = self.placement_requested_at.is_none_or(|at| now >= at + delay);
 
         if let Some(to) = self.leader.clone().filter(|_| is_due) {
-            self.asked_placement_at = Some(now);
+            self.placement_requested_at = Some(now);
             actions.push(Action::Send { to, message: Message::AskPlacement { placement_no } });
         }
     }
 
-    /// Sends a placement that was asked for, unless the link has no time for it: whoever asked asks again.
+    /// Sends a placement that was requested, unless the link is busy: the requester retries.
     pub(super) fn send_placement(
         &mut self,
         to: A,
@@ -93,31 +96,32 @@
             return;
         };
 
-        if self.bulk.take_time(placement_bytes(&placement), now) {
+        if self.bulk.try_reserve(placement_bytes(&placement), now) {
             let message = Message::Placement { placement_no, placement };
             actions.push(Action::Send { to, message });
         }
     }
 
-    /// Reads what the own engine holds, where the node does not know the placement in use, so that it is at
-    /// hand when a leader asks; a leader asks all nodes.
-    pub(super) fn ask_parts(
+    /// Reads which experts the node's own engine holds, if the node does not know the placement in
+    /// use, so that the part is at hand when a leader requests it; a leader also requests the parts
+    /// of all nodes.
+    pub(super) fn request_parts(
         &mut self,
         report: &RankReport,
         now: Moment,
         actions: &mut Vec<Action<A>>,
     ) {
         let is_known = self.placements.contains_key(&report.placement);
-        let pause = self.options.order_retry_delay;
-        let is_due = self.asked_parts_at.is_none_or(|at| now >= at + pause);
+        let delay = self.options.order_retry_delay;
+        let is_due = self.parts_requested_at.is_none_or(|at| now >= at + delay);
 
         if is_known || !is_due {
             return;
         }
 
-        self.asked_parts_at = Some(now);
+        self.parts_requested_at = Some(now);
         let has_own_part =
-            self.parts_of == report.placement && self.parts.contains_key(&report.rank);
+            self.parts_placement_no == report.placement && self.parts.contains_key(&report.rank);
 
         if !has_own_part {
             actions.push(Action::ReadPart);
@@ -127,10 +131,11 @@
             return;
         }
 
-        let is_missing =
-            |rank: &Rank| self.parts_of != report.placement || !self.parts.contains_key(rank);
+        let is_missing = |rank: &Rank| {
+            self.parts_placement_no != report.placement || !self.parts.contains_key(rank)
+        };
 
-        for (_, to) in self.known_others().filter(|(rank, _)| is_missing(rank)) {
+        for (_, to) in self.known_peers().filter(|(rank, _)| is_missing(rank)) {
             let message = Message::AskPart { placement_no: report.placement };
             actions.push(Action::Send { to: to.clone(), message });
         }
@@ -147,7 +152,8 @@
         };
         let known = self.placements.get(&placement_no);
         let from_placement = || known.map(|p| p.part_of(rank));
-        let from_engine = || self.parts.get(&rank).filter(|_| self.parts_of == placement_no);
+        let from_engine =
+            || self.parts.get(&rank).filter(|_| self.parts_placement_no == placement_no);
 
         match from_placement().or_else(|| from_engine().cloned()) {
             Some(part) => {
@@ -158,10 +164,10 @@
         }
     }
 
-    pub(super) fn take_part(&mut self, placement_no: PlacementNo, rank: Rank, part: RankPart) {
-        if self.parts_of != placement_no {
+    pub(super) fn add_part(&mut self, placement_no: PlacementNo, rank: Rank, part: RankPart) {
+        if self.parts_placement_no != placement_no {
             self.parts.clear();
-            self.parts_of = placement_no;
+            self.parts_placement_no = placement_no;
         }
 
         self.parts.insert(rank, part);
