--- a/grebedeck-experts/tests/rollout/engine.rs
+++ b/grebedeck-experts/tests/rollout/engine.rs
@@ -1,4 +1,4 @@
-//! A rank's engine, which keeps the platform's rules for orders.
+//! A simulated engine that follows the platform's rules for orders.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -8,31 +8,31 @@
 use grebedeck_experts::engine::{PassNo, PlacementNo};
 use grebedeck_experts::{Armed, Placement, RankAction, RankReport};
 
-use crate::group::Broken;
+use crate::group::Defect;
 
-/// How long a copy takes.
-const COPY: Duration = Duration::from_millis(60);
+/// Time from accepting an order to prepare until the weights are copied.
+const COPY_TIME: Duration = Duration::from_millis(60);
 
-/// What an engine knows and holds.
+/// State of a simulated engine.
 pub struct Engine {
     pub epoch: u64,
     pub placement: PlacementNo,
-    pub newest: PlacementNo,
+    pub highest_no: PlacementNo,
     pub prepared: Option<PlacementNo>,
     pub copying: Option<(PlacementNo, Moment)>,
     pub armed: Option<Armed>,
     pub held: Option<PassNo>,
-    pub content: BTreeMap<PlacementNo, Arc<Placement>>,
+    pub placements: BTreeMap<PlacementNo, Arc<Placement>>,
 }
 
 impl Engine {
-    pub fn holds(&self, pass: PassNo, broken: Broken) -> bool {
-        let ends_early = broken == Broken::HoldsEndEarly && self.armed.is_some();
+    pub fn is_holding(&self, pass: PassNo, defect: Defect) -> bool {
+        let ends_early = defect == Defect::HoldEndsEarly && self.armed.is_some();
 
         self.held == Some(pass) && !ends_early
     }
 
-    pub fn begin(&mut self, pass: PassNo) {
+    pub fn begin_pass(&mut self, pass: PassNo) {
         if let Some(armed) = self.armed.filter(|a| a.pass == pass) {
             self.placement = armed.placement_no;
             self.armed = None;
@@ -58,17 +58,17 @@
         }
     }
 
-    pub fn take(&mut self, action: &RankAction, pass: PassNo, now: Moment) -> bool {
+    pub fn accept(&mut self, action: &RankAction, pass: PassNo, now: Moment) -> bool {
         match action {
             RankAction::Prepare { placement_no, placement } => {
-                if self.armed.is_some() || *placement_no <= self.newest {
+                if self.armed.is_some() || *placement_no <= self.highest_no {
                     return false;
                 }
 
-                self.newest = *placement_no;
-                self.content.insert(*placement_no, placement.clone());
-                self.copying = Some((*placement_no, now + COPY));
-                // The copy takes a while; what was prepared before it is given up.
+                self.highest_no = *placement_no;
+                self.placements.insert(*placement_no, placement.clone());
+                self.copying = Some((*placement_no, now + COPY_TIME));
+                // Copying takes a while, and discards the placement prepared before.
                 self.prepared = None;
                 true
             }
--- a/grebedeck-experts/tests/rollout/group/faults.rs
+++ b/grebedeck-experts/tests/rollout/group/faults.rs
@@ -1,4 +1,4 @@
-//! What goes wrong in a group, by chance or as a test wants it.
+//! Faults of a simulated group, at random or as a test requests.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
             return;
         }
 
-        let Faults { kills, kills_all, freezes, cuts, .. } = self.faults;
+        let Faults { kills, kills_all, freezes, isolations, .. } = self.faults;
         let at = self.random.below(self.machines.len());
 
         if self.chance(kills) {
@@ -30,41 +30,41 @@
             self.machines[at].frozen_until = self.now + length;
         }
 
-        // Without cuts, the runs of a seed stay as they are.
-        if cuts > 0.0 && self.chance(cuts) {
+        // Drawn only if isolations are enabled, so that other runs keep their random sequence.
+        if isolations > 0.0 && self.chance(isolations) {
             let length = ms(200 + self.random.below(4000) as u64);
-            self.machines[at].cut_until = self.now + length;
+            self.machines[at].isolated_until = self.now + length;
         }
     }
 
-    /// Kills all nodes, which start again together after this time.
+    /// Kills all nodes, which restart together after this time.
     pub fn kill_all_for(&mut self, pause: Duration) {
         (0..self.machines.len()).for_each(|at| self.kill_for(at, pause));
     }
 
-    /// Stops the leader's process in order; it starts again after this time.
+    /// Shuts the leader's process down gracefully; it restarts after this time.
     pub fn stop_leader(&mut self, pause: Duration) {
         let now = self.now;
-        let at = self.leader().expect("one leads");
+        let at = self.leader().expect("the group has a leader");
         let actions = self.machines[at].node.as_mut().map(|node| node.resign(now));
-        actions.into_iter().flatten().for_each(|action| self.act(at, action));
+        actions.into_iter().flatten().for_each(|action| self.perform(at, action));
         self.kill_for(at, pause);
     }
 
-    /// Kills the leader's node, which starts again after this time.
+    /// Kills the leader's node, which restarts after this time.
     pub fn kill_leader(&mut self, pause: Duration) {
-        let at = self.leader().expect("one leads");
+        let at = self.leader().expect("the group has a leader");
         self.kill_for(at, pause);
     }
 
-    /// Kills a node, which starts again after this time.
+    /// Kills a node, which restarts after this time.
     pub fn kill_node(&mut self, at: usize, pause: Duration) {
         self.kill_for(at, pause);
     }
 
-    /// Lets no message reach a node, or leave it.
-    pub fn cut_node(&mut self, at: usize, length: Duration) {
-        self.machines[at].cut_until = self.now + length;
+    /// Drops all messages to and from a node for this time.
+    pub fn isolate_node(&mut self, at: usize, length: Duration) {
+        self.machines[at].isolated_until = self.now + length;
     }
 
     fn kill(&mut self, at: usize) {
--- a/grebedeck-experts/tests/rollout/group/links.rs
+++ b/grebedeck-experts/tests/rollout/group/links.rs
@@ -1,4 +1,4 @@
-//! The links of a group's machines.
+//! The network links of a simulated group's machines.
 
 use std::time::Duration;
 
@@ -6,12 +6,13 @@
 
 use super::Group;
 
-/// Bytes of a datagram beside its message: the headers of the network, the sender and the group.
+/// Bytes of a datagram apart from its message: network headers, sender and group.
 const HEADER_BYTES: usize = 50;
-/// Bytes of a node's address, which stands as a number here.
+/// Bytes of a node's address, which is a plain number in this simulation.
 const ADDRESS_BYTES: usize = 8;
 impl Group {
-    /// Gets how long a message is on its way over the links of both machines, or `None` where too much waits there.
+    /// Returns how long a message takes over the links of both machines, or `None` if a queue is
+    /// full and drops it.
     pub(super) fn wait_at_links(
         &mut self,
         from: usize,
@@ -34,37 +35,37 @@
             *self.traffic.entry((at, kind(message))).or_default() += bytes as u64;
         }
 
-        let takes = Duration::from_secs_f64(bytes as f64 / bytes_per_s);
+        let send_time = Duration::from_secs_f64(bytes as f64 / bytes_per_s);
         let now = self.now;
-        let up = self.machines[from].link_free.up.max(now);
-        let down = self.machines[to].link_free.down.max(up + takes);
+        let up = self.machines[from].link_free_at.up.max(now);
+        let down = self.machines[to].link_free_at.down.max(up + send_time);
 
         let is_dropped = up > now + self.link_queue || down > up + self.link_queue;
 
-        if is_dropped && !self.drops_take_time {
+        if is_dropped && !self.dropped_use_link {
             return None;
         }
 
-        self.machines[from].link_free.up = up + takes;
+        self.machines[from].link_free_at.up = up + send_time;
 
         if is_dropped {
             return None;
         }
 
-        self.machines[to].link_free.down = down + takes;
-        Some(down + takes - now)
+        self.machines[to].link_free_at.down = down + send_time;
+        Some(down + send_time - now)
     }
 }
 
-/// Gets what a page about links calls a message.
+/// Returns the label of a message's kind in the traffic figures.
 fn kind(message: &Message<usize>) -> &'static str {
     match message {
-        Message::Lead { roster, .. } if !roster.is_empty() => "names",
-        Message::Lead { directive, .. } if directive.stage == Stage::Idle => "idle word",
-        Message::Lead { .. } => "word on a plan",
-        Message::Relay { .. } => "plan, passed on",
+        Message::Lead { roster, .. } if !roster.is_empty() => "roster",
+        Message::Lead { directive, .. } if directive.stage == Stage::Idle => "idle directive",
+        Message::Lead { .. } => "plan directive",
+        Message::Relay { .. } => "relayed plan",
         Message::Status(_) => "status",
         Message::Changeover(_) | Message::Answer(_) => "changeover",
-        _ => "placement asked for",
+        _ => "requested placement",
     }
 }
