--- a/grebedeck-experts/src/rollout.rs
+++ b/grebedeck-experts/src/rollout.rs
@@ -32,6 +32,7 @@
 mod absent;
 pub mod action;
 mod arming;
+mod broadcast;
 mod bulk;
 mod changeover;
 mod claim;
@@ -43,7 +44,6 @@
 pub mod options;
 mod parts;
 mod passes;
-mod tell;
 
 pub use action::{Action, RankEvent};
 pub use lead::PlanBlock;
--- a/grebedeck-experts/src/rollout/claim.rs
+++ b/grebedeck-experts/src/rollout/claim.rs
@@ -6,11 +6,11 @@
 use grebedeck_core::{Expert, Moment, Rank};
 
 use super::action::{Action, RankEvent};
+use super::broadcast::EARLY_CANDIDATES;
 use super::lead::{Leadership, Plan};
 use super::message::{Message, Stage, Term};
 use super::node::Node;
 use super::options::NodeOptions;
-use super::tell::EARLY_CANDIDATES;
 use crate::engine::{INITIAL_PLACEMENT, PlacementNo, RankReport};
 use crate::placement::{Placement, RankChange};
 
--- a/grebedeck-experts/src/rollout/lead.rs
+++ b/grebedeck-experts/src/rollout/lead.rs
@@ -8,10 +8,10 @@
 
 use super::absent::RemoteAccess;
 use super::action::{Action, RankEvent};
+use super::broadcast::FAN_OUT;
 use super::message::{Directive, Stage, Status, Term};
 use super::node::Node;
 use super::options::NodeOptions;
-use super::tell::FAN_OUT;
 use crate::engine::{INITIAL_PLACEMENT, PassNo, PlacementNo, RankAction, RankOrder, RankReport};
 use crate::placement::{Placement, RankChange};
 
--- a/grebedeck-experts/src/rollout/node.rs
+++ b/grebedeck-experts/src/rollout/node.rs
@@ -7,6 +7,7 @@
 
 use super::action::{Action, RankEvent};
 use super::arming::ArmingTime;
+use super::broadcast::EARLY_CANDIDATES;
 use super::bulk::BulkQueue;
 use super::changeover::HeldPass;
 use super::engaged::Participation;
@@ -14,7 +15,6 @@
 use super::message::{Directive, Message, RankPart, Stage, Status, Term};
 use super::options::NodeOptions;
 use super::passes::PassClock;
-use super::tell::EARLY_CANDIDATES;
 use crate::engine::{
     INITIAL_PLACEMENT, OrderOutcome, PassNo, PlacementNo, RankAction, RankOrder, RankReport,
 };
