--- a/grebedeck-experts/src/rollout.rs
+++ b/grebedeck-experts/src/rollout.rs
@@ -36,12 +36,12 @@
 mod bulk;
 mod changeover;
 mod claim;
-mod engaged;
 mod holder;
 mod lead;
 pub mod message;
 pub mod node;
 pub mod options;
+mod participation;
 mod parts;
 mod passes;
 
--- a/grebedeck-experts/src/rollout/node.rs
+++ b/grebedeck-experts/src/rollout/node.rs
@@ -10,10 +10,10 @@
 use super::broadcast::EARLY_CANDIDATES;
 use super::bulk::BulkQueue;
 use super::changeover::HeldPass;
-use super::engaged::Participation;
 use super::lead::Leadership;
 use super::message::{Directive, Message, RankPart, Stage, Status, Term};
 use super::options::NodeOptions;
+use super::participation::Participation;
 use super::passes::PassClock;
 use crate::engine::{
     INITIAL_PLACEMENT, OrderOutcome, PassNo, PlacementNo, RankAction, RankOrder, RankReport,
