--- a/grebedeck-experts/src/rollout.rs
+++ b/grebedeck-experts/src/rollout.rs
@@ -35,7 +35,7 @@
 mod broadcast;
 mod bulk;
 mod changeover;
-mod claim;
+mod election;
 mod holder;
 mod lead;
 pub mod message;
