--- a/grebedeck-experts/tests/rollout/main.rs
+++ b/grebedeck-experts/tests/rollout/main.rs
@@ -5,7 +5,7 @@
 mod engine;
 mod group;
 mod lead;
-mod settles;
+mod recovery;
 mod shape;
 
 use std::sync::Arc;
