--- a/grebedeck-experts/tests/rollout/group.rs
+++ b/grebedeck-experts/tests/rollout/group.rs
@@ -19,9 +19,9 @@
 /// Faults of a run.
 #[derive(Clone, Copy, Debug)]
 pub struct Faults {
-    /// Ratio of messages that are lost.
+    /// Fraction of messages that are lost.
     pub lost: f64,
-    /// Ratio of orders that get no answer and are carried out late.
+    /// Fraction of orders that get no answer and are carried out late.
     pub late_orders: f64,
     /// Probability per 100 ms that a node is killed.
     pub kills: f64,
@@ -38,7 +38,7 @@
 /// A defect built into the engines, which the check must detect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Defect {
-    /// Nothing.
+    /// No defect.
     Nothing,
     /// Engines let a held pass begin as soon as their own rank is armed.
     HoldEndsEarly,
--- a/grebedeck-experts/tests/rollout/main.rs
+++ b/grebedeck-experts/tests/rollout/main.rs
@@ -25,7 +25,7 @@
     until: Duration::ZERO,
 };
 
-/// All kinds of faults together.
+/// All kinds of faults but isolations.
 const ALL_FAULTS: Faults = Faults {
     lost: 0.1,
     late_orders: 0.2,
