--- a/grebedeck-experts/src/rollout/action.rs
+++ b/grebedeck-experts/src/rollout/action.rs
@@ -1,4 +1,4 @@
-//! What a node wants done, and what it has found.
+//! Actions that a node requests, and events that it reports.
 
 use std::time::Duration;
 
@@ -7,65 +7,65 @@
 use super::message::{Message, Term};
 use crate::engine::{PassNo, PlacementNo, RankOrder};
 
-/// What a node wants done.
+/// An action that a node requests from its caller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action<A> {
     /// Send a message.
     Send {
-        /// The node that gets it.
+        /// The receiving node.
         to: A,
         /// The message.
         message: Message<A>,
     },
-    /// Give an order to a rank's engine, the node's own or another's.
+    /// Send an order to a rank's engine, the node's own or another's.
     Order {
         /// The rank.
         rank: Rank,
         /// The order.
         order: RankOrder,
     },
-    /// Read what another rank's engine says.
-    Ask {
+    /// Read the report of another rank's engine.
+    ReadReport {
         /// The rank.
         rank: Rank,
     },
-    /// Read which experts the own engine holds.
+    /// Read which experts the node's own engine holds.
     ReadPart,
-    /// Something that operators may want to know.
-    Note(RankNote),
+    /// Log and count an event.
+    Event(RankEvent),
 }
 
-/// What a node has decided or found, for logs.
+/// A decision or finding of a node, for logs and metrics.
 #[derive(Clone, Debug, PartialEq)]
-pub enum RankNote {
-    /// It takes the lead.
-    Leads(Term),
-    /// It gives the lead up, as the process is to stop.
-    Resigns {
-        /// The rank that it calls on.
+pub enum RankEvent {
+    /// The node has taken the lead.
+    LeadershipTaken(Term),
+    /// The node has given up the lead because its process is about to stop.
+    Resigned {
+        /// The rank that is to lead next.
         next: Rank,
     },
-    /// It goes on with what the leader before it wanted.
-    CarriesOn {
+    /// A new leader has resumed the plan of the leader before it.
+    PlanResumed {
         /// The placement.
         placement_no: PlacementNo,
     },
-    /// It has a rank's engine read and prepared from afar, as its process is away.
-    ActsFor {
+    /// The node has begun to read and order the engine of an absent rank.
+    RemoteAccessStarted {
         /// The rank.
         rank: Rank,
     },
-    /// It does so no more.
-    ActsForNoMore {
+    /// Remote access to the rank has ended.
+    RemoteAccessEnded {
         /// The rank.
         rank: Rank,
     },
-    /// It follows a leader.
-    Follows(Term),
+    /// The node has started to follow a leader.
+    LeaderFollowed(Term),
     /// The group has formed anew; all plans are void.
-    NewEpoch(u64),
+    EpochChanged(u64),
     /// All ranks have copied a placement's weights; a pass is to be held.
-    Holding {
+    HoldRequested {
         /// The placement.
         placement_no: PlacementNo,
         /// The pass.
@@ -74,31 +74,31 @@
         holder: Rank,
     },
     /// The placement is in use.
-    InUse {
+    PlacementInUse {
         /// The placement.
         placement_no: PlacementNo,
         /// The first pass with it.
         pass: PassNo,
     },
-    /// A plan was given up before any rank was armed.
-    GivenUp {
+    /// A plan was abandoned before any rank was armed.
+    PlanAbandoned {
         /// The placement.
         placement_no: PlacementNo,
-        /// Why.
+        /// The reason, as it is logged.
         reason: &'static str,
     },
-    /// The own engine holds a pass that the node has no memory of.
-    Recovers {
+    /// The node's engine holds a pass that the node does not know of, as after a restart.
+    HeldPassFound {
         /// The pass.
         pass: PassNo,
     },
-    /// A held pass was let go.
-    Released {
+    /// A held pass was released.
+    PassReleased {
         /// The pass.
         pass: PassNo,
         /// The placement that every rank was armed for, if any.
         placement_no: Option<PlacementNo>,
-        /// Time since all were asked.
+        /// Time since the last phase of the changeover began.
         held_for: Duration,
     },
 }
