--- a/grebedeck-experts/benches/search.rs
+++ b/grebedeck-experts/benches/search.rs
@@ -29,8 +29,8 @@
     let costs = vec![1.0; usize::from(RANKS)];
     let first = Placement::dealt(RANKS, SETS, EXPERTS);
     let options = AssignOptions {
-        places: 3,
-        max_new: 2,
+        slots_per_rank: 3,
+        max_new_per_rank: 2,
         max_copies_per_rank: 15,
         target_skew: 1.4,
         min_gain_per_copy: 0.05,
--- a/grebedeck-experts/src/assign.rs
+++ b/grebedeck-experts/src/assign.rs
@@ -16,9 +16,9 @@
 #[derive(Clone, Copy, Debug)]
 pub struct AssignOptions {
     /// Experts of a set that a rank can hold.
-    pub places: usize,
+    pub slots_per_rank: usize,
     /// Most experts of a set that a placement may bring to a rank.
-    pub max_new: usize,
+    pub max_new_per_rank: usize,
     /// Most experts that a placement may bring to a rank, over all sets.
     pub max_copies_per_rank: usize,
     /// Load of the busiest rank, relative to the mean, that is good enough.
@@ -270,7 +270,7 @@
     /// Adds the steps by which another rank takes an expert of the busiest one.
     fn add_steps_with(&self, alone: Step, other: Rank, expert: Expert, steps: &mut Vec<Step>) {
         let theirs = &self.set[usize::from(other)];
-        let has_place = theirs.len() < self.options.places;
+        let has_place = theirs.len() < self.options.slots_per_rank;
         let spread = Step { loses: None, ..alone };
 
         if has_place {
@@ -302,7 +302,8 @@
             let after = before + taken - lost;
             let for_all_sets = copied[usize::from(rank)] - before + after;
 
-            after <= self.options.max_new && for_all_sets <= self.options.max_copies_per_rank
+            after <= self.options.max_new_per_rank
+                && for_all_sets <= self.options.max_copies_per_rank
         };
 
         within(step.rank, step.loses, step.takes)
--- a/grebedeck-experts/src/balancer.rs
+++ b/grebedeck-experts/src/balancer.rs
@@ -23,7 +23,7 @@
     /// Load of the busiest rank, relative to the mean, above which the placement is changed.
     pub trigger_skew: f32,
     /// Least time between two changes.
-    pub pause: Duration,
+    pub min_change_interval: Duration,
 }
 
 /// What one rank counted since its last report.
@@ -43,13 +43,13 @@
 
 /// Takes the difference of an engine's counts from one reading to the next.
 #[derive(Clone, Debug, Default)]
-pub struct CountDelta {
+pub struct CountTracker {
     last: Option<RankCounts>,
 }
 
-impl CountDelta {
+impl CountTracker {
     /// Takes the next reading; gives what was counted since the one before it.
-    pub fn next(&mut self, rank: Rank, counts: RankCounts) -> Option<CountReport> {
+    pub fn record(&mut self, rank: Rank, counts: RankCounts) -> Option<CountReport> {
         let before = self.last.replace(counts.clone())?;
         let is_same = before.epoch == counts.epoch
             && before.born_ms == counts.born_ms
@@ -79,7 +79,7 @@
 
 /// Tells whether a rank's counts are wanted. Popularity is one of the whole group, so with many ranks a
 /// part of them is sample enough, and all counts would fill the leader's link.
-pub fn is_counted(rank: Rank, size: Rank, counters: usize, period: Duration) -> bool {
+pub fn is_sampled(rank: Rank, size: Rank, counters: usize, period: Duration) -> bool {
     let bytes_per_s = f64::from(size) * counters as f64 / period.as_secs_f64().max(1e-3);
     let stride = (bytes_per_s / COUNT_BYTES_PER_S).ceil().max(1.0) as Rank;
 
@@ -88,7 +88,7 @@
 
 /// A placement that is worth rolling out.
 #[derive(Clone, Debug)]
-pub struct Change {
+pub struct PlacementChange {
     /// The placement.
     pub placement: Placement,
     /// Skew with the placement in use.
@@ -130,7 +130,7 @@
     }
 
     /// Takes in what a rank counted.
-    pub fn count(&mut self, report: &CountReport) {
+    pub fn add_counts(&mut self, report: &CountReport) {
         if report.codes.len() != self.pending.len() {
             return;
         }
@@ -143,7 +143,7 @@
     }
 
     /// Brings the estimate up to date with what was counted.
-    pub fn observe(&mut self) {
+    pub fn update_popularity(&mut self) {
         if self.pass <= self.observed_pass {
             return;
         }
@@ -161,7 +161,7 @@
     }
 
     /// Forgets the passes of a group that has formed anew, whose count begins again.
-    pub fn restart(&mut self) {
+    pub fn reset(&mut self) {
         let options = self.options;
         *self = Balancer::new(options);
     }
@@ -172,8 +172,14 @@
     }
 
     /// Gives a better placement, where one is worth rolling out.
-    pub fn plan(&mut self, in_use: &Placement, costs: &[f32], now: Moment) -> Option<Change> {
-        let is_early = self.changed_at.is_some_and(|at| now < at + self.options.pause);
+    pub fn plan(
+        &mut self,
+        in_use: &Placement,
+        costs: &[f32],
+        now: Moment,
+    ) -> Option<PlacementChange> {
+        let is_early =
+            self.changed_at.is_some_and(|at| now < at + self.options.min_change_interval);
         let fractions = self.fractions();
         let skew_before = in_use.skew(&fractions, costs);
 
@@ -190,7 +196,7 @@
         }
 
         self.changed_at = Some(now);
-        Some(Change { placement, skew_before, skew_after, copies })
+        Some(PlacementChange { placement, skew_before, skew_after, copies })
     }
 
     fn fractions(&self) -> Vec<Vec<f32>> {
--- a/grebedeck-experts/src/map.rs
+++ b/grebedeck-experts/src/map.rs
@@ -79,7 +79,7 @@
     }
 
     /// Gets how many experts the rank holds.
-    pub fn held_by(&self, rank: Rank) -> usize {
+    pub fn expert_count(&self, rank: Rank) -> usize {
         self.experts.iter().flatten().filter(|r| r.rank == rank).count()
     }
 }
@@ -130,7 +130,7 @@
     }
 
     /// Gives the map that a difference leads to, or `None` where it does not fit this map.
-    pub fn with(&self, delta: &MapDelta) -> Option<ExpertMap> {
+    pub fn apply_delta(&self, delta: &MapDelta) -> Option<ExpertMap> {
         let mut next = self.clone();
 
         for change in &delta.experts {
--- a/grebedeck-experts/src/plan.rs
+++ b/grebedeck-experts/src/plan.rs
@@ -67,7 +67,7 @@
     /// Each rank's time per token, relative to a normal rank.
     pub rank_costs: &'a [f32],
     /// Most experts whose placement or shares may change, since each has to be sent to every member.
-    pub max_changed: usize,
+    pub max_changed_experts: usize,
 }
 
 /// A map that is worth switching to.
@@ -156,7 +156,7 @@
         let mut plans: Vec<_> = all.filter_map(|l| self.plan_layer(group, l, room)).collect();
 
         self.share_moves(group, &mut plans);
-        keep_best(&mut plans, group.max_changed);
+        keep_best(&mut plans, group.max_changed_experts);
         let worth: f32 = plans.iter().map(|p| self.worth(group, p)).sum();
         let mut moves: Vec<_> = plans.iter().flat_map(|p| &p.moves).copied().collect();
         let moving = moves.len() as f32 * self.options.move_cost_ms;
@@ -222,7 +222,7 @@
         let costs = group.rank_costs;
         let mut map = group.map.layers[usize::from(layer)].clone();
 
-        let before = slowest(&map.rank_loads(fractions, costs.len() as Rank), costs);
+        let before = max_rank_time(&map.rank_loads(fractions, costs.len() as Rank), costs);
         let mut loads = balance(&mut map, fractions, costs, DEFAULT_PASSES);
         let mut moves: Vec<(Move, f32)> = Vec::new();
 
@@ -230,7 +230,7 @@
         let price = self.options.move_cost_ms * self.options.cost_weight;
 
         while moves.len() < room {
-            let now = slowest(&loads, costs);
+            let now = max_rank_time(&loads, costs);
 
             if now <= ideal * (1.0 + self.options.tolerance) {
                 break;
@@ -259,7 +259,7 @@
         moves.sort_by_key(|(m, _)| (m.expert, m.rank));
         moves.dedup_by_key(|(m, _)| (m.expert, m.rank));
 
-        let gain = before - slowest(&loads, costs);
+        let gain = before - max_rank_time(&loads, costs);
 
         // What is within the noise stays as it is, so that the difference of maps stays small.
         if gain < self.options.min_gain * ideal {
@@ -273,13 +273,13 @@
 }
 
 /// Keeps the layers that gain the most for what has to be sent of them.
-fn keep_best(plans: &mut Vec<LayerPlan>, max_changed: usize) {
+fn keep_best(plans: &mut Vec<LayerPlan>, max_changed_experts: usize) {
     plans.sort_by(|a, b| b.gain_per_changed().total_cmp(&a.gain_per_changed()));
     let mut changed = 0;
 
     plans.retain(|plan| {
         changed += plan.changed;
-        changed <= max_changed
+        changed <= max_changed_experts
     });
 }
 
@@ -329,14 +329,14 @@
 ) -> Option<Candidate> {
     let mut next = map.clone();
 
-    if next.held_by(to) >= usize::from(slots_per_rank) {
+    if next.expert_count(to) >= usize::from(slots_per_rank) {
         let evicted = least_missed(&next, fractions, to)?;
         evict(&mut next.experts[usize::from(evicted)], to);
     }
 
     next.experts[usize::from(expert)].push(Replica { rank: to, share: 0.0 });
     let loads = balance(&mut next, fractions, costs, CANDIDATE_PASSES);
-    let slowest = slowest(&loads, costs);
+    let slowest = max_rank_time(&loads, costs);
 
     Some(Candidate { expert, to, map: next, loads, slowest })
 }
@@ -395,6 +395,6 @@
 }
 
 /// Gets the slowest rank's time, in units of the layer's whole work.
-pub fn slowest(loads: &[f32], costs: &[f32]) -> f32 {
+pub fn max_rank_time(loads: &[f32], costs: &[f32]) -> f32 {
     loads.iter().zip(costs).map(|(l, c)| l * c).fold(0.0, f32::max)
 }
--- a/grebedeck-experts/src/switch.rs
+++ b/grebedeck-experts/src/switch.rs
@@ -23,6 +23,6 @@
 pub mod member;
 pub mod message;
 
-pub use coordinator::{Coordinator, CoordinatorOptions, CoordinatorOrder};
-pub use member::{Member, MemberOptions, MemberOrder, MemberStatus};
+pub use coordinator::{Coordinator, CoordinatorAction, CoordinatorOptions};
+pub use member::{Member, MemberAction, MemberOptions, MemberStatus};
 pub use message::{Body, GroupView, MapVersion, MemberNo, Message, Standing};
--- a/grebedeck-experts/src/switch/coordinator.rs
+++ b/grebedeck-experts/src/switch/coordinator.rs
@@ -14,33 +14,33 @@
     /// How many steps ahead of the slowest answer the switch is armed.
     pub lead_steps: Step,
     /// How long members may take to load weights before the proposal is given up.
-    pub prepare_limit: Duration,
+    pub prepare_timeout: Duration,
     /// How long members may take to arm before the proposal is given up.
-    pub arm_limit: Duration,
+    pub arm_timeout: Duration,
     /// How long to wait before an order is sent again.
-    pub resend_after: Duration,
+    pub resend_interval: Duration,
 }
 
 impl Default for CoordinatorOptions {
     fn default() -> Self {
         CoordinatorOptions {
             lead_steps: 16,
-            prepare_limit: Duration::from_secs(60),
-            arm_limit: Duration::from_secs(1),
-            resend_after: Duration::from_millis(50),
+            prepare_timeout: Duration::from_secs(60),
+            arm_timeout: Duration::from_secs(1),
+            resend_interval: Duration::from_millis(50),
         }
     }
 }
 
 /// What the shell has to do for a coordinator.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum CoordinatorOrder {
+pub enum CoordinatorAction {
     /// Send a message.
     Send(Message),
     /// The proposal is in use by all members.
     Committed(MapVersion),
     /// The proposal was given up; a later one needs a new version.
-    GivenUp(MapVersion),
+    Aborted(MapVersion),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -114,7 +114,7 @@
         base: MapVersion,
         roster: Vec<Incarnation>,
         now: Moment,
-    ) -> Vec<CoordinatorOrder> {
+    ) -> Vec<CoordinatorAction> {
         assert!(self.is_idle(), "one proposal at a time");
 
         self.version = self.next_version();
@@ -124,13 +124,13 @@
         self.roster = roster;
         self.step_max = 0;
         self.phase = Phase::Preparing;
-        self.give_up_at = now + self.options.prepare_limit;
+        self.give_up_at = now + self.options.prepare_timeout;
 
         self.send_to_waiting(now)
     }
 
     /// Goes on with an answer of a member.
-    pub fn receive(&mut self, message: &Message, now: Moment) -> Vec<CoordinatorOrder> {
+    pub fn receive(&mut self, message: &Message, now: Moment) -> Vec<CoordinatorAction> {
         let from = usize::from(message.from);
 
         if self.roster.get(from) != Some(&message.incarnation) {
@@ -159,7 +159,7 @@
     }
 
     /// Goes on as time passes.
-    pub fn tick(&mut self, now: Moment) -> Vec<CoordinatorOrder> {
+    pub fn tick(&mut self, now: Moment) -> Vec<CoordinatorAction> {
         if self.is_idle() {
             return Vec::new();
         }
@@ -172,7 +172,7 @@
         if now >= self.resend_at { self.send_to_waiting(now) } else { Vec::new() }
     }
 
-    fn arm_if_all_prepared(&mut self, now: Moment) -> Vec<CoordinatorOrder> {
+    fn arm_if_all_prepared(&mut self, now: Moment) -> Vec<CoordinatorAction> {
         if !self.answered.iter().all(|a| *a) {
             return Vec::new();
         }
@@ -180,12 +180,12 @@
         let at_step = self.step_max + self.options.lead_steps;
         self.phase = Phase::Arming { at_step };
         self.answered.fill(false);
-        self.give_up_at = now + self.options.arm_limit;
+        self.give_up_at = now + self.options.arm_timeout;
 
         self.send_to_waiting(now)
     }
 
-    fn commit_if_all_armed(&mut self) -> Vec<CoordinatorOrder> {
+    fn commit_if_all_armed(&mut self) -> Vec<CoordinatorAction> {
         if !self.answered.iter().all(|a| *a) {
             return Vec::new();
         }
@@ -193,24 +193,24 @@
         self.phase = Phase::Idle;
         let body = Body::Commit { version: self.version, roster: self.roster.clone() };
         let mut orders: Vec<_> = self.members().map(|to| self.send(to, body.clone())).collect();
-        orders.push(CoordinatorOrder::Committed(self.version));
+        orders.push(CoordinatorAction::Committed(self.version));
 
         orders
     }
 
-    fn give_up(&mut self) -> Vec<CoordinatorOrder> {
+    fn give_up(&mut self) -> Vec<CoordinatorAction> {
         self.phase = Phase::Idle;
         // Asking makes members that have not armed vow against it, and armed ones learn of that
         // when they ask in turn.
         let body = Body::Query { version: self.version };
         let mut orders: Vec<_> = self.members().map(|to| self.send(to, body.clone())).collect();
-        orders.push(CoordinatorOrder::GivenUp(self.version));
+        orders.push(CoordinatorAction::Aborted(self.version));
 
         orders
     }
 
-    fn send_to_waiting(&mut self, now: Moment) -> Vec<CoordinatorOrder> {
-        self.resend_at = now + self.options.resend_after;
+    fn send_to_waiting(&mut self, now: Moment) -> Vec<CoordinatorAction> {
+        self.resend_at = now + self.options.resend_interval;
 
         let body = match self.phase {
             Phase::Idle => return Vec::new(),
@@ -231,7 +231,7 @@
         0..self.roster.len() as MemberNo
     }
 
-    fn send(&self, to: MemberNo, body: Body) -> CoordinatorOrder {
-        CoordinatorOrder::Send(Message { from: self.no, incarnation: self.incarnation, to, body })
+    fn send(&self, to: MemberNo, body: Body) -> CoordinatorAction {
+        CoordinatorAction::Send(Message { from: self.no, incarnation: self.incarnation, to, body })
     }
 }
--- a/grebedeck-experts/src/switch/member.rs
+++ b/grebedeck-experts/src/switch/member.rs
@@ -11,23 +11,23 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct MemberOptions {
     /// How long an armed member waits for the coordinator before it asks the others.
-    pub settle_after: Duration,
+    pub query_delay: Duration,
     /// How long it waits before it asks again.
-    pub ask_again_after: Duration,
+    pub retry_interval: Duration,
 }
 
 impl Default for MemberOptions {
     fn default() -> Self {
         MemberOptions {
-            settle_after: Duration::from_millis(250),
-            ask_again_after: Duration::from_millis(100),
+            query_delay: Duration::from_millis(250),
+            retry_interval: Duration::from_millis(100),
         }
     }
 }
 
 /// What the shell has to do for a member.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum MemberOrder {
+pub enum MemberAction {
     /// Send a message.
     Send(Message),
     /// Load the weights of a version, then call [`Member::loaded`].
@@ -50,9 +50,9 @@
         at_step: Step,
     },
     /// Stay with the map in use, and hold no more.
-    Keep {
+    KeepCurrent {
         /// The version that was given up.
-        given_up: MapVersion,
+        aborted: MapVersion,
     },
 }
 
@@ -187,7 +187,7 @@
     }
 
     /// Goes on after the weights of a version were loaded; `step` is the engine's next one.
-    pub fn loaded(&mut self, version: MapVersion, step: Step) -> Vec<MemberOrder> {
+    pub fn loaded(&mut self, version: MapVersion, step: Step) -> Vec<MemberAction> {
         if self.loading != Some(version) {
             return Vec::new();
         }
@@ -198,12 +198,12 @@
     }
 
     /// Goes on as time passes. Call it at least as often as the options' times.
-    pub fn tick(&mut self, now: Moment) -> Vec<MemberOrder> {
+    pub fn tick(&mut self, now: Moment) -> Vec<MemberAction> {
         if self.is_replaced() {
             return Vec::new();
         }
 
-        let again = now + self.options.ask_again_after;
+        let again = now + self.options.retry_interval;
 
         if let Some(joining) = &mut self.joining {
             return if joining.is_due(now, again) { self.ask_to_join() } else { Vec::new() };
@@ -223,7 +223,7 @@
     }
 
     /// Goes on with a message; `step` is the engine's next step, which has not begun.
-    pub fn receive(&mut self, message: &Message, step: Step) -> Vec<MemberOrder> {
+    pub fn receive(&mut self, message: &Message, step: Step) -> Vec<MemberAction> {
         if message.to != self.no || usize::from(message.from) >= self.known.roster.len() {
             return Vec::new();
         }
@@ -282,7 +282,7 @@
         version: MapVersion,
         base: MapVersion,
         step: Step,
-    ) -> Vec<MemberOrder> {
+    ) -> Vec<MemberAction> {
         let fenced = version.epoch < self.known.seen_epoch;
         self.known.seen_epoch = self.known.seen_epoch.max(version.epoch);
 
@@ -300,7 +300,7 @@
         }
 
         self.loading = Some(version);
-        vec![MemberOrder::Load { version }]
+        vec![MemberAction::Load { version }]
     }
 
     fn arm(
@@ -311,7 +311,7 @@
         at_step: Step,
         roster: &[Incarnation],
         step: Step,
-    ) -> Vec<MemberOrder> {
+    ) -> Vec<MemberAction> {
         // A doubled order must not disturb a hold that the engine is about to confirm.
         if self.holding.as_ref().is_some_and(|h| h.version == version) {
             return Vec::new();
@@ -334,12 +334,12 @@
         }
 
         self.holding = Some(Holding { asked_by: from, version, at_step, roster: roster.to_vec() });
-        vec![MemberOrder::HoldAt { version, at_step }]
+        vec![MemberAction::HoldAt { version, at_step }]
     }
 
     /// Goes on after the engine answered a hold; `done` says that `at_step` had not begun and will
     /// not begin until it is told.
-    pub fn held(&mut self, version: MapVersion, done: bool, now: Moment) -> Vec<MemberOrder> {
+    pub fn held(&mut self, version: MapVersion, done: bool, now: Moment) -> Vec<MemberAction> {
         if self.is_replaced() {
             return Vec::new();
         }
@@ -347,14 +347,18 @@
         let Some(holding) = self.holding.take_if(|h| h.version == version) else {
             // It was given up meanwhile, and the engine must not be left holding for it.
             let idle = done && self.armed.is_none() && self.holding.is_none();
-            return if idle { vec![MemberOrder::Keep { given_up: version }] } else { Vec::new() };
+            return if idle {
+                vec![MemberAction::KeepCurrent { aborted: version }]
+            } else {
+                Vec::new()
+            };
         };
 
         if !done || holding.roster != self.known.roster || version <= self.known.settled {
             let mut orders = self.answer_query(holding.asked_by, version);
 
             if done {
-                orders.push(MemberOrder::Keep { given_up: version });
+                orders.push(MemberAction::KeepCurrent { aborted: version });
             }
 
             return orders;
@@ -362,7 +366,7 @@
 
         let mut armed_by = vec![false; self.known.roster.len()];
         armed_by[usize::from(self.no)] = true;
-        let ask_at = now + self.options.settle_after;
+        let ask_at = now + self.options.query_delay;
         let Holding { asked_by, at_step, roster, .. } = holding;
         self.armed = Some(Armed { version, at_step, roster, armed_by, ask_at });
 
@@ -375,7 +379,7 @@
         &mut self,
         version: MapVersion,
         roster: &[Incarnation],
-    ) -> Vec<MemberOrder> {
+    ) -> Vec<MemberAction> {
         // After a member was replaced, the word of the old roster no longer counts.
         if roster != self.known.roster {
             return Vec::new();
@@ -394,7 +398,7 @@
     }
 
     /// Answers how this member stands; where it has not armed the version, it vows never to.
-    fn answer_query(&mut self, from: MemberNo, version: MapVersion) -> Vec<MemberOrder> {
+    fn answer_query(&mut self, from: MemberNo, version: MapVersion) -> Vec<MemberAction> {
         let armed = self.armed.as_ref().is_some_and(|a| a.version == version);
 
         let standing = if armed {
@@ -416,7 +420,7 @@
         from: MemberNo,
         version: MapVersion,
         standing: Standing,
-    ) -> Vec<MemberOrder> {
+    ) -> Vec<MemberAction> {
         let Some(armed) = self.armed.as_mut().filter(|a| a.version == version) else {
             return Vec::new();
         };
@@ -431,7 +435,7 @@
         }
     }
 
-    fn commit_if_all_armed(&mut self) -> Vec<MemberOrder> {
+    fn commit_if_all_armed(&mut self) -> Vec<MemberAction> {
         let roster = &self.known.roster;
         let all = self
             .armed
@@ -441,7 +445,7 @@
         if all { self.commit() } else { Vec::new() }
     }
 
-    fn commit(&mut self) -> Vec<MemberOrder> {
+    fn commit(&mut self) -> Vec<MemberAction> {
         let Some(armed) = self.armed.take() else {
             return Vec::new();
         };
@@ -453,10 +457,10 @@
         self.known.settled = self.known.settled.max(armed.version);
         self.prepared = None;
 
-        vec![MemberOrder::Use { version: armed.version, at_step: armed.at_step }]
+        vec![MemberAction::Use { version: armed.version, at_step: armed.at_step }]
     }
 
-    fn give_up(&mut self) -> Vec<MemberOrder> {
+    fn give_up(&mut self) -> Vec<MemberAction> {
         let Some(armed) = self.armed.take() else {
             return Vec::new();
         };
@@ -464,10 +468,10 @@
         self.known.settled = self.known.settled.max(armed.version);
         self.prepared = None;
 
-        vec![MemberOrder::Keep { given_up: armed.version }]
+        vec![MemberAction::KeepCurrent { aborted: armed.version }]
     }
 
-    fn receive_joining(&mut self, message: &Message) -> Vec<MemberOrder> {
+    fn receive_joining(&mut self, message: &Message) -> Vec<MemberAction> {
         match &message.body {
             Body::Join { roster } => {
                 self.note_roster(roster);
@@ -504,7 +508,7 @@
         }
     }
 
-    fn ask_to_join(&mut self) -> Vec<MemberOrder> {
+    fn ask_to_join(&mut self) -> Vec<MemberAction> {
         let missing = self.missing_acks();
 
         // A group of one has nobody to ask.
@@ -528,7 +532,7 @@
         joining.map_or_else(Vec::new, |j| j.missing(self.no, &self.known.roster))
     }
 
-    fn acknowledge_join(&self, message: &Message) -> MemberOrder {
+    fn acknowledge_join(&self, message: &Message) -> MemberAction {
         let armed = self.armed.as_ref().map_or(self.known.settled, |a| a.version);
         let mut known = self.known.clone();
         // Nobody had committed it by now, so the joining member vows against it.
@@ -537,12 +541,12 @@
         self.send(message.from, Body::JoinAck { joined: message.incarnation, known })
     }
 
-    fn report(&self, to: MemberNo, version: MapVersion, standing: Standing) -> MemberOrder {
+    fn report(&self, to: MemberNo, version: MapVersion, standing: Standing) -> MemberAction {
         self.send(to, Body::Report { version, standing, seen_epoch: self.known.seen_epoch })
     }
 
-    fn send(&self, to: MemberNo, body: Body) -> MemberOrder {
-        MemberOrder::Send(Message { from: self.no, incarnation: self.incarnation, to, body })
+    fn send(&self, to: MemberNo, body: Body) -> MemberAction {
+        MemberAction::Send(Message { from: self.no, incarnation: self.incarnation, to, body })
     }
 
     fn others(&self) -> impl Iterator<Item = MemberNo> + use<> {
--- a/grebedeck-experts/tests/assign.rs
+++ b/grebedeck-experts/tests/assign.rs
@@ -10,8 +10,8 @@
 
 fn options() -> AssignOptions {
     AssignOptions {
-        places: 5,
-        max_new: 2,
+        slots_per_rank: 5,
+        max_new_per_rank: 2,
         max_copies_per_rank: 4,
         target_skew: 1.1,
         min_gain_per_copy: 0.001,
@@ -30,9 +30,9 @@
         let mut held = vec![false; usize::from(EXPERTS)];
 
         for (before, now) in had.iter().zip(has) {
-            assert!(now.len() <= options.places, "a rank has no more places");
+            assert!(now.len() <= options.slots_per_rank, "a rank has no more places");
             let new = now.iter().filter(|e| !before.contains(e)).count();
-            assert!(new <= options.max_new, "engines take no more new experts at once");
+            assert!(new <= options.max_new_per_rank, "engines take no more new experts at once");
 
             for (at, expert) in now.iter().enumerate() {
                 assert!(!now[..at].contains(expert), "no rank holds an expert twice");
@@ -161,8 +161,8 @@
     let weights: Vec<f32> = (0..MANY_EXPERTS).map(|_| (0.7 * normal()).exp() as f32).collect();
     let before = Placement::dealt(MANY_RANKS, 1, MANY_EXPERTS);
     let options = AssignOptions {
-        places: 3,
-        max_new: 2,
+        slots_per_rank: 3,
+        max_new_per_rank: 2,
         max_copies_per_rank: 2,
         target_skew: 1.4,
         min_gain_per_copy: 0.05,
--- a/grebedeck-experts/tests/map.rs
+++ b/grebedeck-experts/tests/map.rs
@@ -13,7 +13,7 @@
     balance(&mut next.layers[1], &loads, &[1.0; 8], DEFAULT_PASSES);
 
     let delta = map.delta_to(&next);
-    let rebuilt = map.with(&delta).unwrap();
+    let rebuilt = map.apply_delta(&delta).unwrap();
 
     rebuilt.assert_valid();
     assert!(delta.experts.iter().all(|e| e.layer == 1));
@@ -30,7 +30,7 @@
 fn a_difference_that_does_not_fit_is_refused() {
     let map = ExpertMap::spread(4, 8, 1, 4);
     let with = |layer, expert, replicas| {
-        map.with(&MapDelta { experts: vec![ExpertDelta { layer, expert, replicas }] })
+        map.apply_delta(&MapDelta { experts: vec![ExpertDelta { layer, expert, replicas }] })
     };
 
     assert!(with(0, 0, vec![(1, 255)]).is_some());
--- a/grebedeck-experts/tests/plan.rs
+++ b/grebedeck-experts/tests/plan.rs
@@ -22,7 +22,7 @@
     popularity: &'a Popularity,
     rank_costs: &'a [f32],
 ) -> GroupState<'a> {
-    GroupState { map, popularity, layer_work_ms: 12.0, rank_costs, max_changed: usize::MAX }
+    GroupState { map, popularity, layer_work_ms: 12.0, rank_costs, max_changed_experts: usize::MAX }
 }
 
 #[test]
@@ -83,7 +83,7 @@
     let mut tokens = vec![100.0; 32];
     tokens[3] = 4_000.0;
     let popularity = popularity(&tokens, 20);
-    let group = GroupState { max_changed: 3, ..state(&map, &popularity, &[1.0; 8]) };
+    let group = GroupState { max_changed_experts: 3, ..state(&map, &popularity, &[1.0; 8]) };
 
     assert!(Planner::default().plan(&group).is_none());
 
--- a/grebedeck-experts/tests/starts.rs
+++ b/grebedeck-experts/tests/starts.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use grebedeck_experts::balancer::CountDelta;
+use grebedeck_experts::balancer::CountTracker;
 use grebedeck_experts::rollout::{Action, Message, Node, NodeOptions, RankNote, Status, Term};
 use grebedeck_experts::{RankCounts, RankReport};
 
@@ -47,12 +47,12 @@
 /// A start that has counted more than the one before, in the same formation by its number.
 #[test]
 fn counts_of_two_starts_are_not_taken_from_each_other() {
-    let mut delta = CountDelta::default();
-    assert!(delta.next(0, counts(1, &[5, 5])).is_none());
-    assert!(delta.next(0, counts(1, &[7, 9])).is_some());
-    assert!(delta.next(0, counts(2, &[8, 9])).is_none());
+    let mut tracker = CountTracker::default();
+    assert!(tracker.record(0, counts(1, &[5, 5])).is_none());
+    assert!(tracker.record(0, counts(1, &[7, 9])).is_some());
+    assert!(tracker.record(0, counts(2, &[8, 9])).is_none());
 
-    let report = delta.next(0, counts(2, &[9, 9])).expect("one was counted");
+    let report = tracker.record(0, counts(2, &[9, 9])).expect("one was counted");
     assert_eq!(report.born_ms, Some(2));
 }
 
--- a/grebedeck-lab/src/balance/policy.rs
+++ b/grebedeck-lab/src/balance/policy.rs
@@ -4,7 +4,7 @@
 
 use grebedeck_core::{Layer, Step};
 use grebedeck_experts::map::ExpertMap;
-use grebedeck_experts::plan::{ChangeBudget, GroupState, PlanOptions, Planner, slowest};
+use grebedeck_experts::plan::{ChangeBudget, GroupState, PlanOptions, Planner, max_rank_time};
 use grebedeck_experts::popularity::LayerCounts;
 use grebedeck_experts::share::{DEFAULT_PASSES, balance};
 use grebedeck_experts::{Popularity, PopularityOptions};
@@ -123,7 +123,7 @@
                     popularity: &self.popularity,
                     layer_work_ms: self.setup.layer_work_ms() as f32,
                     rank_costs: costs,
-                    max_changed: self.budget.available(now),
+                    max_changed_experts: self.budget.available(now),
                 };
 
                 let next = self.planner.plan(&group)?.map;
@@ -171,7 +171,7 @@
 
         for (layer, fractions) in map.layers.iter().zip(&fractions) {
             let loads = layer.rank_loads(fractions, map.ranks);
-            worst += slowest(&loads, costs);
+            worst += max_rank_time(&loads, costs);
             mean += loads.iter().zip(costs).map(|(l, c)| l * c).sum::<f32>() / costs.len() as f32;
         }
 
--- a/grebedeck-lab/src/balance/sim.rs
+++ b/grebedeck-lab/src/balance/sim.rs
@@ -311,7 +311,7 @@
         if let Some(map) = next {
             // What travels is the rounded difference, and so that is what ranks use.
             let delta = self.map.delta_to(&map);
-            let map = self.map.with(&delta).unwrap_or(map);
+            let map = self.map.apply_delta(&delta).unwrap_or(map);
             map.assert_valid();
             self.changed_experts += delta.experts.len() as u64;
             let moves = self.map.moves_to(&map);
--- a/grebedeck-lab/src/cost/probes/experts.rs
+++ b/grebedeck-lab/src/cost/probes/experts.rs
@@ -90,7 +90,7 @@
         popularity: &popularity,
         layer_work_ms: 3.0 * 32.0 / layers as f32,
         rank_costs: &[1.0; 32],
-        max_changed: usize::MAX,
+        max_changed_experts: usize::MAX,
     };
     least_s(5, || {
         black_box(Planner::default().plan(&group));
--- a/grebedeck-lab/src/model.rs
+++ b/grebedeck-lab/src/model.rs
@@ -11,7 +11,7 @@
 use futures::TryStreamExt;
 use grebedeck_core::{Epoch, Layer, RandomSource, Rank, Step, random::SeededSource};
 use grebedeck_experts::ExpertMap;
-use grebedeck_experts::plan::slowest;
+use grebedeck_experts::plan::max_rank_time;
 use grebedeck_net::platform::engine::{
     EngineAction, EngineAnswer, EngineOrder, EngineState, LayerTokens,
 };
@@ -294,7 +294,7 @@
         for layer in 0..usize::from(options.layers) {
             let counts = self.count(layer, options, random);
             let loads = self.maps[map].layers[layer].rank_loads(&counts, options.ranks);
-            worst += slowest(&loads, &costs);
+            worst += max_rank_time(&loads, &costs);
             mean += loads.iter().zip(&costs).map(|(l, c)| l * c).sum::<f32>() / loads.len() as f32;
         }
 
--- a/grebedeck-lab/src/switch_model.rs
+++ b/grebedeck-lab/src/switch_model.rs
@@ -11,8 +11,8 @@
 
 use grebedeck_core::{Incarnation, Moment, RandomSource, Step};
 use grebedeck_experts::switch::{
-    Body, Coordinator, CoordinatorOptions, CoordinatorOrder, MapVersion, Member, MemberNo,
-    MemberOptions, MemberOrder, Message,
+    Body, Coordinator, CoordinatorAction, CoordinatorOptions, MapVersion, Member, MemberAction,
+    MemberNo, MemberOptions, Message,
 };
 
 /// A way in which the protocol is broken on purpose, to show that the checks notice.
@@ -158,7 +158,7 @@
 
 fn member_options() -> MemberOptions {
     // Any wait may already be over, so a member may ask at any time.
-    MemberOptions { settle_after: Duration::ZERO, ask_again_after: Duration::ZERO }
+    MemberOptions { query_delay: Duration::ZERO, retry_interval: Duration::ZERO }
 }
 
 fn coordinator_options() -> CoordinatorOptions {
@@ -395,16 +395,16 @@
         state.replaced += 1;
     }
 
-    fn carry_out(&mut self, state: &mut State, place: Place, orders: Vec<MemberOrder>) {
+    fn carry_out(&mut self, state: &mut State, place: Place, orders: Vec<MemberAction>) {
         for order in orders {
             match order {
-                MemberOrder::Send(message) => state.sent.push(self.messages.number(message)),
-                MemberOrder::Load { version } => {
+                MemberAction::Send(message) => state.sent.push(self.messages.number(message)),
+                MemberAction::Load { version } => {
                     let step = next_step_of(state, place);
                     let orders = process_of(state, place).member.loaded(version, step);
                     self.carry_out(state, place, orders);
                 }
-                MemberOrder::HoldAt { version, at_step } => {
+                MemberAction::HoldAt { version, at_step } => {
                     let done = next_step_of(state, place) <= at_step;
                     let process = process_of(state, place);
 
@@ -415,19 +415,19 @@
                     let orders = process.member.held(version, done, Moment::ZERO);
                     self.carry_out(state, place, orders);
                 }
-                MemberOrder::Use { version, at_step } => {
+                MemberAction::Use { version, at_step } => {
                     let engine = &mut process_of(state, place).engine;
                     engine.next_map = Some((version, at_step));
                     engine.hold_at = None;
                 }
-                MemberOrder::Keep { .. } => process_of(state, place).engine.hold_at = None,
+                MemberAction::KeepCurrent { .. } => process_of(state, place).engine.hold_at = None,
             }
         }
     }
 
-    fn carry_out_coordination(&mut self, state: &mut State, orders: Vec<CoordinatorOrder>) {
+    fn carry_out_coordination(&mut self, state: &mut State, orders: Vec<CoordinatorAction>) {
         for order in orders {
-            if let CoordinatorOrder::Send(message) = order {
+            if let CoordinatorAction::Send(message) = order {
                 state.sent.push(self.messages.number(message));
             }
         }
--- a/grebedeck/src/agent/balance.rs
+++ b/grebedeck/src/agent/balance.rs
@@ -2,7 +2,7 @@
 
 use grebedeck_core::{Layer, Moment, Rank, Step};
 use grebedeck_experts::counter::{decode_count, encode_count};
-use grebedeck_experts::plan::{GroupState, PlanOptions, slowest};
+use grebedeck_experts::plan::{GroupState, PlanOptions, max_rank_time};
 use grebedeck_experts::popularity::LayerCounts;
 use grebedeck_experts::{ChangeBudget, ExpertMap, Plan, Planner, Popularity, PopularityOptions};
 use grebedeck_net::platform::EngineState;
@@ -149,7 +149,7 @@
             popularity,
             layer_work_ms: self.settings.layer_work_ms,
             rank_costs: &self.rank_costs,
-            max_changed: self.budget.available(now),
+            max_changed_experts: self.budget.available(now),
         })?;
 
         self.budget.spend(map.delta_to(&plan.map).experts.len());
@@ -180,7 +180,7 @@
         let loads = placed.rank_loads(popularity.fractions(layer as Layer), map.ranks);
         let mean: f32 =
             loads.iter().zip(rank_costs).map(|(l, c)| l * c).sum::<f32>() / f32::from(map.ranks);
-        worst += slowest(&loads, rank_costs);
+        worst += max_rank_time(&loads, rank_costs);
         total += mean;
     }
 
--- a/grebedeck/src/agent/driver.rs
+++ b/grebedeck/src/agent/driver.rs
@@ -9,8 +9,8 @@
 use futures::FutureExt;
 use grebedeck_core::{Incarnation, Moment, Step};
 use grebedeck_experts::switch::{
-    Body, Coordinator, CoordinatorOptions, CoordinatorOrder, MapVersion, Member, MemberOptions,
-    MemberOrder, Message,
+    Body, Coordinator, CoordinatorAction, CoordinatorOptions, MapVersion, Member, MemberAction,
+    MemberOptions, Message,
 };
 use grebedeck_experts::{ExpertMap, MapDelta};
 use grebedeck_kernel::log;
@@ -119,7 +119,7 @@
             Event::Message(message, map) => {
                 if let (Body::Prepare { version, base }, Some(delta)) = (&message.body, map) {
                     // Without the base's map the proposal cannot be loaded, and comes again.
-                    if let Some(map) = self.map_in_use(*base).and_then(|m| m.with(&delta)) {
+                    if let Some(map) = self.map_in_use(*base).and_then(|m| m.apply_delta(&delta)) {
                         self.service.keep_map(*version, map, self.member.current());
                     }
                 }
@@ -266,7 +266,8 @@
         };
 
         let delta = in_use.delta_to(&plan.map);
-        let map = in_use.with(&delta).expect("a difference fits the map that it was taken from");
+        let map =
+            in_use.apply_delta(&delta).expect("a difference fits the map that it was taken from");
         map.assert_valid();
 
         let Some(coordinator) = &mut self.coordinator else {
@@ -299,39 +300,39 @@
         self.coordinator = Some(Coordinator::new(own, incarnation, seen + 1, options));
     }
 
-    async fn carry_out_coordination(&mut self, orders: Vec<CoordinatorOrder>) {
+    async fn carry_out_coordination(&mut self, orders: Vec<CoordinatorAction>) {
         for order in orders {
             match order {
-                CoordinatorOrder::Send(message) => self.send(message).await,
-                CoordinatorOrder::Committed(version) => {
+                CoordinatorAction::Send(message) => self.send(message).await,
+                CoordinatorAction::Committed(version) => {
                     log::info!("map committed", kv: { version = version_text(version) });
                 }
-                CoordinatorOrder::GivenUp(version) => {
+                CoordinatorAction::Aborted(version) => {
                     log::info!("map given up", kv: { version = version_text(version) });
                 }
             }
         }
     }
 
-    async fn carry_out(&mut self, orders: Vec<MemberOrder>) {
+    async fn carry_out(&mut self, orders: Vec<MemberAction>) {
         for order in orders {
             match order {
-                MemberOrder::Send(message) => self.send(message).await,
-                MemberOrder::Load { version } => self.carry_out_load(version).await,
-                MemberOrder::HoldAt { version, at_step } => {
+                MemberAction::Send(message) => self.send(message).await,
+                MemberAction::Load { version } => self.carry_out_load(version).await,
+                MemberAction::HoldAt { version, at_step } => {
                     let done = self.order(version, EngineAction::HoldAt { at_step }).await;
                     let now = self.service.clock.now();
                     let orders = self.member.held(version, done, now);
                     Box::pin(self.carry_out(orders)).await;
                 }
-                MemberOrder::Use { version, at_step } => {
+                MemberAction::Use { version, at_step } => {
                     self.service.switches.add("used");
                     let action = EngineAction::Use { version: version_text(version), at_step };
                     self.insist(version, action).await;
                 }
-                MemberOrder::Keep { given_up } => {
+                MemberAction::KeepCurrent { aborted } => {
                     self.service.switches.add("kept");
-                    self.insist(given_up, EngineAction::Keep).await;
+                    self.insist(aborted, EngineAction::Keep).await;
                 }
             }
         }
--- a/grebedeck/src/rank/balance.rs
+++ b/grebedeck/src/rank/balance.rs
@@ -4,7 +4,7 @@
 
 use grebedeck_core::Moment;
 use grebedeck_experts::assign::AssignOptions;
-use grebedeck_experts::balancer::Change;
+use grebedeck_experts::balancer::PlacementChange;
 use grebedeck_experts::{Balancer, BalancerOptions, CountReport, Placement, RankReport};
 use grebedeck_gateway::{EngineSpec, Site};
 
@@ -49,14 +49,14 @@
     /// Takes in what a rank counted.
     pub fn count(&mut self, report: &CountReport) {
         if let Some(balancer) = &mut self.balancer {
-            balancer.count(report);
+            balancer.add_counts(report);
         }
     }
 
     /// Starts anew with a group that has formed anew.
     pub fn restart(&mut self) {
         if let Some(balancer) = &mut self.balancer {
-            balancer.restart();
+            balancer.reset();
         }
     }
 
@@ -66,7 +66,7 @@
         in_use: &Placement,
         reports: &[RankReport],
         now: Moment,
-    ) -> Option<Change> {
+    ) -> Option<PlacementChange> {
         let balancer = self.balancer.as_mut()?;
         let running: u32 = reports.iter().map(|r| r.running).sum();
         let costs: Vec<f32> = reports.iter().map(|r| r.pace.max(1.0)).collect();
@@ -76,7 +76,7 @@
             return None;
         }
 
-        balancer.observe();
+        balancer.update_popularity();
         balancer.plan(in_use, &costs, now)
     }
 }
@@ -99,13 +99,13 @@
         sets: spec.sets,
         experts: spec.experts,
         assign: AssignOptions {
-            places: usize::from(spec.places),
-            max_new: usize::from(spec.spare),
+            slots_per_rank: usize::from(spec.places),
+            max_new_per_rank: usize::from(spec.spare),
             max_copies_per_rank: max_copies(Duration::from_millis(settings.copy_limit_ms), spec),
             target_skew: settings.target_skew,
             min_gain_per_copy: settings.min_gain_per_copy,
         },
         trigger_skew: settings.trigger_skew,
-        pause: Duration::from_millis(settings.pause_ms),
+        min_change_interval: Duration::from_millis(settings.pause_ms),
     }
 }
--- a/grebedeck/src/rank/driver.rs
+++ b/grebedeck/src/rank/driver.rs
@@ -12,7 +12,7 @@
 use async_std::net::UdpSocket;
 use futures::{FutureExt, StreamExt};
 use grebedeck_core::{Moment, Result};
-use grebedeck_experts::balancer::CountDelta;
+use grebedeck_experts::balancer::CountTracker;
 use grebedeck_experts::rollout::{Action, Message, Node, NodeOptions, RankNote};
 use grebedeck_experts::{RankEngine, RankReport};
 use grebedeck_gateway::{SiteStore, TargetEntry, TargetListing};
@@ -80,7 +80,7 @@
     pub(super) socket: UdpSocket,
     pub(super) node: Node<SocketAddr>,
     pub(super) balance: Balance,
-    pub(super) delta: CountDelta,
+    pub(super) count_tracker: CountTracker,
     pub(super) reader: DatagramReader,
     pub(super) outcomes: (Sender<Outcome>, Receiver<Outcome>),
     /// When the process stops at the latest, once it was told to.
@@ -130,7 +130,7 @@
             socket,
             node,
             balance,
-            delta: CountDelta::default(),
+            count_tracker: CountTracker::default(),
             reader: DatagramReader::default(),
             outcomes: async_channel::bounded(OUTCOMES_WAITING),
             stop_by: None,
--- a/grebedeck/src/rank/planning.rs
+++ b/grebedeck/src/rank/planning.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use grebedeck_core::Moment;
-use grebedeck_experts::balancer::is_counted;
+use grebedeck_experts::balancer::is_sampled;
 use grebedeck_experts::engine::DEALT_PLACEMENT;
 use grebedeck_experts::{RankCounts, RankEngine};
 use grebedeck_gateway::SiteStore;
@@ -94,13 +94,13 @@
         let Some(rank) = self.node.report().map(|r| r.rank) else {
             return;
         };
-        let Some(report) = self.delta.next(rank, counts) else {
+        let Some(report) = self.count_tracker.record(rank, counts) else {
             return;
         };
         let size = self.node.report().map_or(1, |r| r.size);
         let period = millis(self.settings.balance.count_ms);
 
-        if !is_counted(rank, size, report.codes.len(), period) {
+        if !is_sampled(rank, size, report.codes.len(), period) {
             return;
         }
 
