--- a/grebedeck-experts/src/assign.rs
+++ b/grebedeck-experts/src/assign.rs
@@ -1,52 +1,59 @@
-//! Finding a better placement with few copies.
+//! Local search for a placement that balances the ranks better with few copies of experts.
 //!
-//! The set whose busiest rank stands highest above the mean is improved first: that rank gives something
-//! away, by dropping a replica, by an exchange, or by a replica elsewhere in place of one that is missed
-//! least. Of all such steps the one is taken that lowers the ranks' times most for its copies, until the
-//! target is met everywhere, no step is worth its copies, or the engines take no more new experts at once.
+//! Each round takes the set whose busiest rank is furthest above the mean and relieves that rank by
+//! one step: it drops a replica, exchanges an expert with another rank, or lets another rank hold
+//! one more replica, if necessary in place of one of that rank's replicas. The step with the best
+//! ratio of relief to copies is applied. The search ends when all sets meet the target, no step is
+//! worth its copies, or the limits on new experts are reached.
 //!
-//! A rank copies over one link for all sets, one expert after the other, and all ranks wait for the one
-//! that copies most; so what a rank copies is limited over all sets together.
+//! A rank copies the experts of all sets one after the other over a single link, and all ranks wait
+//! for the one that copies most. The number of copies per rank is therefore limited over all sets
+//! together.
 
 use grebedeck_core::{Expert, Rank};
 
 use crate::placement::{Placement, SetPlacement, rank_times};
 
-/// Settings of the search.
+/// Options of the search.
 #[derive(Clone, Copy, Debug)]
 pub struct AssignOptions {
-    /// Experts of a set that a rank can hold.
+    /// Maximum number of experts of one set that a rank can hold.
     pub slots_per_rank: usize,
-    /// Most experts of a set that a placement may bring to a rank.
+    /// Maximum number of new experts per rank and set in one placement.
     pub max_new_per_rank: usize,
-    /// Most experts that a placement may bring to a rank, over all sets.
+    /// Maximum number of new experts per rank over all sets in one placement.
     pub max_copies_per_rank: usize,
-    /// Load of the busiest rank, relative to the mean, that is good enough.
+    /// Load of the busiest rank relative to the mean at which a set needs no further steps.
     pub target_skew: f32,
-    /// Least gain in skew that is worth the copy of one expert, in a group of up to [`GAIN_RANKS`] ranks.
+    /// Minimum reduction of the skew per copied expert, in a group of up to 16 ranks; larger groups
+    /// need proportionally less.
     pub min_gain_per_copy: f32,
 }
 
-/// Ranks up to which a copy has to gain the whole of [`AssignOptions::min_gain_per_copy`]. With more of them,
-/// more ranks stand above the mean, one copy relieves one of them, and all copy at the same time: with 192 and
-/// the whole gain the search ended at a skew of 2.19 after 70 copies, where 449 reach 1.40.
-const GAIN_RANKS: f32 = 16.0;
-/// Ranks that may take something from the busiest one: the least loaded ones. Looking at all 191 others took
-/// 105 ms of a core for a placement of 10 sets of 384 experts, 19 ms with this limit; a leader with 0.15 of a core
-/// was silent for longer than the others wait.
+/// Largest group in which a copy has to gain the whole of [`AssignOptions::min_gain_per_copy`].
+///
+/// In a larger group more ranks are above the mean, one copy relieves only one of them, and all
+/// ranks copy at the same time. With 192 ranks and the unscaled minimum, the search ends at a skew of
+/// 2.19 after 70 copies, although 449 copies reach 1.40.
+const FULL_GAIN_RANKS: f32 = 16.0;
+/// Maximum number of ranks, the least loaded ones, considered as partners of the busiest rank.
+///
+/// For 10 sets of 384 experts on 192 ranks the search takes 19 ms of CPU time with this limit, and
+/// 105 ms when all 191 other ranks are considered. At 0.15 of a core the latter would silence a
+/// leader for longer than the other ranks wait for it.
 const MAX_CANDIDATES: usize = 24;
 
-/// A step of the search: what each of one or two ranks loses and takes.
+/// A step of the search: the experts that one or two ranks drop and add.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Step {
     rank: Rank,
-    loses: Option<Expert>,
-    takes: Option<Expert>,
+    removed: Option<Expert>,
+    added: Option<Expert>,
     other: Option<(Rank, Option<Expert>, Option<Expert>)>,
 }
 
 impl Step {
-    /// Gets the ranks whose experts it changes.
+    /// Returns the ranks whose experts change.
     fn ranks(&self) -> impl Iterator<Item = Rank> + use<> {
         let other = self.other.map(|(rank, _, _)| rank);
 
@@ -54,16 +61,21 @@
     }
 }
 
-/// Weight of a copy against the relief of the ranks' times when steps are compared.
-const COPY_WEIGHT: f32 = 0.25;
-/// Copies that a step without any counts as when its gain is weighed: it needs a changeover, too.
-const FREE_STEP_COPIES: f32 = 0.25;
-/// Power that makes a sum over ranks follow the busiest ones, without ignoring those close to them.
-const PEAK_POWER: i32 = 8;
-/// Most steps in one set: each brings at most two copies, and few are ever needed.
-const MAX_STEPS: usize = 200;
-
-/// Finds a better placement for the experts' popularity and the ranks' costs.
+/// Added to the number of copies by which a step's relief is divided when steps are compared.
+const BASE_COPIES: f32 = 0.25;
+/// Number of copies charged to a step without copies, since it needs a changeover as well.
+const MIN_CHARGED_COPIES: f32 = 0.25;
+/// Exponent of the power mean over ranks: high enough that the busiest ranks dominate, low enough
+/// that ranks close to them still count.
+const PEAK_EXPONENT: i32 = 8;
+/// Maximum number of steps per set, as an average over the sets. Each step makes at most two
+/// copies, and few are ever needed.
+const MAX_STEPS_PER_SET: usize = 200;
+
+/// Returns an improved placement, or a copy of `current` if no step is worth its copies.
+///
+/// `popularity` is the load of each expert of each set, and `costs` each rank's time per unit of
+/// load.
 pub fn improve(
     current: &Placement,
     popularity: &[Vec<f32>],
@@ -74,10 +86,10 @@
     let mut searches: Vec<_> = sets.map(|(s, p)| Search::new(s, p, costs, options)).collect();
     let mut copied = vec![0; costs.len()];
 
-    for _ in 0..MAX_STEPS * searches.len() {
+    for _ in 0..MAX_STEPS_PER_SET * searches.len() {
         let open = searches.iter_mut().filter(|s| !s.is_done);
 
-        let Some(search) = open.max_by(|a, b| a.peak().total_cmp(&b.peak())) else {
+        let Some(search) = open.max_by(|a, b| a.skew().total_cmp(&b.skew())) else {
             break;
         };
 
@@ -87,25 +99,26 @@
     Placement { sets: searches.into_iter().map(|s| s.set).collect() }
 }
 
+/// Search within one set.
 struct Search<'a> {
     before: &'a SetPlacement,
     popularity: &'a [f32],
     costs: &'a [f32],
     options: &'a AssignOptions,
     set: SetPlacement,
-    /// Ranks that hold each expert.
+    /// The ranks that hold each expert.
     holders: Vec<Vec<Rank>>,
     times: Vec<f32>,
-    /// Experts that each rank has to copy.
-    new: Vec<usize>,
+    /// Number of experts that each rank has to copy.
+    new_counts: Vec<usize>,
     mean: f32,
-    /// Least gain that is worth a copy, for as many ranks as there are.
+    /// [`AssignOptions::min_gain_per_copy`], scaled to the size of the group.
     min_gain_per_copy: f32,
-    /// Whether no further step is needed or worth its copies.
+    /// Whether the target is met or no step is worth its copies.
     is_done: bool,
 }
 
-/// Changes of ranks' times by a step; a rank may stand in it more than once.
+/// Changes of the ranks' times by a step; a rank may occur more than once.
 type TimeChanges = Vec<(Rank, f32)>;
 
 impl<'a> Search<'a> {
@@ -130,22 +143,23 @@
             set: before.clone(),
             holders,
             times: rank_times(before, popularity, costs),
-            new: vec![0; before.len()],
+            new_counts: vec![0; before.len()],
             mean: total / before.len() as f32,
             min_gain_per_copy: options.min_gain_per_copy
-                * (GAIN_RANKS / before.len() as f32).min(1.0),
+                * (FULL_GAIN_RANKS / before.len() as f32).min(1.0),
             is_done: false,
         }
     }
 
-    /// Gets the load of the busiest rank, relative to the mean.
-    fn peak(&self) -> f32 {
+    /// Returns the time of the busiest rank relative to the mean.
+    fn skew(&self) -> f32 {
         self.times[usize::from(self.busiest())] / self.mean
     }
 
-    /// Takes the best step, where one is needed; `copied` counts what each rank copies for all sets.
+    /// Applies the best step, or marks the set as done. `copied` is the number of copies of each rank
+    /// over all sets, and is updated.
     fn advance(&mut self, copied: &mut [usize]) {
-        if self.peak() <= self.options.target_skew {
+        if self.skew() <= self.options.target_skew {
             self.is_done = true;
             return;
         }
@@ -156,13 +170,13 @@
         };
 
         for rank in step.ranks() {
-            copied[usize::from(rank)] -= self.new[usize::from(rank)];
+            copied[usize::from(rank)] -= self.new_counts[usize::from(rank)];
         }
 
         self.apply(&step);
 
         for rank in step.ranks() {
-            copied[usize::from(rank)] += self.new[usize::from(rank)];
+            copied[usize::from(rank)] += self.new_counts[usize::from(rank)];
         }
     }
 
@@ -175,8 +189,8 @@
 
     fn best_step(&self, rank: Rank, copied: &[usize]) -> Option<Step> {
         let powers: f32 = self.times.iter().map(|t| self.power(*t)).sum();
-        let peak = |powers: f32| powers.max(0.0).powf(1.0 / PEAK_POWER as f32);
-        let now = peak(powers);
+        let soft_max = |powers: f32| powers.max(0.0).powf(1.0 / PEAK_EXPONENT as f32);
+        let now = soft_max(powers);
         let mut best: Option<(f32, Step)> = None;
 
         for step in self.steps(rank, copied) {
@@ -184,14 +198,14 @@
                 continue;
             }
 
-            let relief = now - peak(powers + self.power_change(&step));
+            let relief = now - soft_max(powers + self.power_sum_change(&step));
             let copies = self.copies(&step) as f32;
 
-            if relief <= self.min_gain_per_copy * copies.max(FREE_STEP_COPIES) {
+            if relief <= self.min_gain_per_copy * copies.max(MIN_CHARGED_COPIES) {
                 continue;
             }
 
-            let value = relief / (COPY_WEIGHT + copies);
+            let value = relief / (BASE_COPIES + copies);
 
             if best.is_none_or(|(most, _)| value > most) {
                 best = Some((value, step));
@@ -201,17 +215,17 @@
         best.map(|(_, step)| step)
     }
 
-    /// Gets a rank's part in the smooth measure of the busiest ranks' times.
+    /// Returns a rank's term in the power sum that approximates the maximum of the ranks' times.
     fn power(&self, time: f32) -> f32 {
-        (time / self.mean).powi(PEAK_POWER)
+        (time / self.mean).powi(PEAK_EXPONENT)
     }
 
-    fn power_change(&self, step: &Step) -> f32 {
+    fn power_sum_change(&self, step: &Step) -> f32 {
         let changes = self.time_changes(step);
         let mut sum = 0.0;
 
         for (at, (rank, _)) in changes.iter().enumerate() {
-            // Each rank counts once, with all its changes.
+            // All changes of a rank are summed where the rank first occurs.
             if changes[..at].iter().any(|(earlier, _)| earlier == rank) {
                 continue;
             }
@@ -224,7 +238,7 @@
         sum
     }
 
-    /// Gets the ranks that may take something from the busiest one.
+    /// Returns the ranks considered as partners of the busiest rank.
     fn candidates(&self, rank: Rank, copied: &[usize]) -> Vec<Rank> {
         let others = (0..self.set.len() as Rank).filter(|other| *other != rank);
 
@@ -251,15 +265,15 @@
         let mut steps = Vec::new();
 
         for &expert in held {
-            let alone = Step { rank, loses: Some(expert), takes: None, other: None };
+            let removal = Step { rank, removed: Some(expert), added: None, other: None };
 
             if self.holders[usize::from(expert)].len() > 1 {
-                steps.push(alone);
+                steps.push(removal);
             }
 
             for &other in &candidates {
                 if !self.set[usize::from(other)].contains(&expert) {
-                    self.add_steps_with(alone, other, expert, &mut steps);
+                    self.add_steps_with_partner(removal, other, expert, &mut steps);
                 }
             }
         }
@@ -267,25 +281,34 @@
         steps
     }
 
-    /// Adds the steps by which another rank takes an expert of the busiest one.
-    fn add_steps_with(&self, alone: Step, other: Rank, expert: Expert, steps: &mut Vec<Step>) {
-        let theirs = &self.set[usize::from(other)];
-        let has_place = theirs.len() < self.options.slots_per_rank;
-        let spread = Step { loses: None, ..alone };
-
-        if has_place {
-            steps.push(Step { other: Some((other, None, Some(expert))), ..spread });
-            steps.push(Step { other: Some((other, None, Some(expert))), ..alone });
+    /// Adds the steps in which another rank receives an expert of the busiest rank.
+    fn add_steps_with_partner(
+        &self,
+        removal: Step,
+        other: Rank,
+        expert: Expert,
+        steps: &mut Vec<Step>,
+    ) {
+        let other_held = &self.set[usize::from(other)];
+        let has_slot = other_held.len() < self.options.slots_per_rank;
+        let replication = Step { removed: None, ..removal };
+
+        if has_slot {
+            steps.push(Step { other: Some((other, None, Some(expert))), ..replication });
+            steps.push(Step { other: Some((other, None, Some(expert))), ..removal });
         }
 
-        for &given in theirs {
-            if self.holders[usize::from(given)].len() > 1 {
-                steps.push(Step { other: Some((other, Some(given), Some(expert))), ..spread });
+        for &replaced in other_held {
+            if self.holders[usize::from(replaced)].len() > 1 {
+                steps.push(Step {
+                    other: Some((other, Some(replaced), Some(expert))),
+                    ..replication
+                });
             }
 
-            if !self.set[usize::from(alone.rank)].contains(&given) {
-                let exchange = (other, Some(given), Some(expert));
-                steps.push(Step { takes: Some(given), other: Some(exchange), ..alone });
+            if !self.set[usize::from(removal.rank)].contains(&replaced) {
+                let exchange = (other, Some(replaced), Some(expert));
+                steps.push(Step { added: Some(replaced), other: Some(exchange), ..removal });
             }
         }
     }
@@ -295,34 +318,35 @@
     }
 
     fn is_allowed(&self, step: &Step, copied: &[usize]) -> bool {
-        let within = |rank: Rank, loses: Option<Expert>, takes: Option<Expert>| {
-            let before = self.new[usize::from(rank)];
-            let lost = usize::from(loses.is_some_and(|e| self.is_new(rank, e)));
-            let taken = usize::from(takes.is_some_and(|e| self.is_new(rank, e)));
-            let after = before + taken - lost;
-            let for_all_sets = copied[usize::from(rank)] - before + after;
+        let is_within_limits = |rank: Rank, removed: Option<Expert>, added: Option<Expert>| {
+            let before = self.new_counts[usize::from(rank)];
+            let undone = usize::from(removed.is_some_and(|e| self.is_new(rank, e)));
+            let taken = usize::from(added.is_some_and(|e| self.is_new(rank, e)));
+            let after = before + taken - undone;
+            let over_all_sets = copied[usize::from(rank)] - before + after;
 
             after <= self.options.max_new_per_rank
-                && for_all_sets <= self.options.max_copies_per_rank
+                && over_all_sets <= self.options.max_copies_per_rank
         };
 
-        within(step.rank, step.loses, step.takes)
-            && step.other.is_none_or(|(rank, loses, takes)| within(rank, loses, takes))
+        is_within_limits(step.rank, step.removed, step.added)
+            && step
+                .other
+                .is_none_or(|(rank, removed, added)| is_within_limits(rank, removed, added))
     }
 
     fn copies(&self, step: &Step) -> usize {
         let is_copy =
-            |rank: Rank, takes: Option<Expert>| takes.is_some_and(|e| self.is_new(rank, e));
-        let other = step.other.is_some_and(|(rank, _, takes)| is_copy(rank, takes));
+            |rank: Rank, added: Option<Expert>| added.is_some_and(|e| self.is_new(rank, e));
+        let other = step.other.is_some_and(|(rank, _, added)| is_copy(rank, added));
 
-        usize::from(is_copy(step.rank, step.takes)) + usize::from(other)
+        usize::from(is_copy(step.rank, step.added)) + usize::from(other)
     }
 
-    /// Gets the experts of a step with the change of the number of ranks that hold them. An exchange
-    /// leaves it as it is.
+    /// Returns the change in the number of holders of each expert in a step; 0 for an exchange.
     fn holder_changes(&self, step: &Step) -> Vec<(Expert, i32)> {
-        let other = step.other.map(|(_, loses, takes)| (loses, takes)).unwrap_or_default();
-        let moved = [(step.loses, -1), (step.takes, 1), (other.0, -1), (other.1, 1)];
+        let other = step.other.map(|(_, removed, added)| (removed, added)).unwrap_or_default();
+        let moved = [(step.removed, -1), (step.added, 1), (other.0, -1), (other.1, 1)];
         let mut changes: Vec<(Expert, i32)> = Vec::with_capacity(4);
 
         for (expert, change) in moved.into_iter().filter_map(|(e, c)| Some((e?, c))) {
@@ -335,7 +359,8 @@
         changes
     }
 
-    /// Gets what a step does to the times of the ranks that hold its experts, before or after it.
+    /// Returns the changes of the times of all ranks that hold one of the step's experts before or
+    /// after it.
     fn time_changes(&self, step: &Step) -> TimeChanges {
         let mut changes = Vec::with_capacity(16);
 
@@ -347,13 +372,13 @@
             let share_after = popularity / count as f32;
 
             for &rank in holders {
-                let stays = holds_after(step, rank, expert, true);
+                let stays = is_held_after(step, rank, expert, true);
                 let after = if stays { share_after } else { 0.0 };
                 changes.push((rank, (after - share_before) * self.costs[usize::from(rank)]));
             }
 
-            for (rank, takes) in takers(step) {
-                if takes == Some(expert) {
+            for (rank, added) in added_experts(step) {
+                if added == Some(expert) {
                     changes.push((rank, share_after * self.costs[usize::from(rank)]));
                 }
             }
@@ -367,45 +392,45 @@
             self.times[usize::from(rank)] += change;
         }
 
-        self.change(step.rank, step.loses, step.takes);
+        self.change(step.rank, step.removed, step.added);
 
-        if let Some((rank, loses, takes)) = step.other {
-            self.change(rank, loses, takes);
+        if let Some((rank, removed, added)) = step.other {
+            self.change(rank, removed, added);
         }
     }
 
-    fn change(&mut self, rank: Rank, loses: Option<Expert>, takes: Option<Expert>) {
+    fn change(&mut self, rank: Rank, removed: Option<Expert>, added: Option<Expert>) {
         let had = &self.before[usize::from(rank)];
         let held = &mut self.set[usize::from(rank)];
-        held.retain(|e| Some(*e) != loses);
-        held.extend(takes);
-        self.new[usize::from(rank)] = held.iter().filter(|e| !had.contains(e)).count();
+        held.retain(|e| Some(*e) != removed);
+        held.extend(added);
+        self.new_counts[usize::from(rank)] = held.iter().filter(|e| !had.contains(e)).count();
 
-        if let Some(expert) = loses {
+        if let Some(expert) = removed {
             self.holders[usize::from(expert)].retain(|r| *r != rank);
         }
 
-        if let Some(expert) = takes {
+        if let Some(expert) = added {
             self.holders[usize::from(expert)].push(rank);
         }
     }
 }
 
-/// Gets the ranks of a step with the experts that they take.
-fn takers(step: &Step) -> impl Iterator<Item = (Rank, Option<Expert>)> {
-    let other = step.other.map(|(rank, _, takes)| (rank, takes));
+/// Returns the ranks of a step with the expert that each adds.
+fn added_experts(step: &Step) -> impl Iterator<Item = (Rank, Option<Expert>)> {
+    let other = step.other.map(|(rank, _, added)| (rank, added));
 
-    std::iter::once((step.rank, step.takes)).chain(other)
+    std::iter::once((step.rank, step.added)).chain(other)
 }
 
-fn holds_after(step: &Step, rank: Rank, expert: Expert, had: bool) -> bool {
-    let change = |loses: Option<Expert>, takes: Option<Expert>| {
-        (had && loses != Some(expert)) || takes == Some(expert)
+fn is_held_after(step: &Step, rank: Rank, expert: Expert, had: bool) -> bool {
+    let change = |removed: Option<Expert>, added: Option<Expert>| {
+        (had && removed != Some(expert)) || added == Some(expert)
     };
 
     match step.other {
-        _ if rank == step.rank => change(step.loses, step.takes),
-        Some((other, loses, takes)) if other == rank => change(loses, takes),
+        _ if rank == step.rank => change(step.removed, step.added),
+        Some((other, removed, added)) if other == rank => change(removed, added),
         _ => had,
     }
 }
--- a/grebedeck-experts/src/balancer.rs
+++ b/grebedeck-experts/src/balancer.rs
@@ -1,4 +1,8 @@
-//! Deciding when a group's placement is worth changing, and to what.
+//! Decides when a group's placement is changed, and to which one.
+//!
+//! The ranks report the tokens that their engines routed to each expert. The leader sums the reports
+//! and estimates the experts' popularity from them. It searches for a better placement when the
+//! busiest rank exceeds the trigger and the previous change is long enough ago.
 
 use std::time::Duration;
 
@@ -11,60 +15,62 @@
 use crate::placement::Placement;
 use crate::popularity::{LayerCounts, Popularity, PopularityOptions};
 
-/// Settings of a balancer.
+/// Options of a balancer.
 #[derive(Clone, Copy, Debug)]
 pub struct BalancerOptions {
-    /// Sets of layers.
+    /// Number of layer sets; the layers of a set share one placement.
     pub sets: u16,
-    /// Experts in each set.
+    /// Number of experts per set.
     pub experts: u16,
-    /// How a better placement is looked for.
+    /// Options of the search for a better placement.
     pub assign: AssignOptions,
-    /// Load of the busiest rank, relative to the mean, above which the placement is changed.
+    /// Load of the busiest rank relative to the mean from which on a better placement is searched.
     pub trigger_skew: f32,
-    /// Least time between two changes.
+    /// Minimum time between two changes.
     pub min_change_interval: Duration,
 }
 
-/// What one rank counted since its last report.
+/// Token counts of one rank since its previous report.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CountReport {
-    /// The group's formation.
+    /// Epoch of the group.
     pub epoch: GroupEpoch,
-    /// The rank.
+    /// The rank that counted.
     pub rank: Rank,
-    /// The last pass that was counted.
+    /// Last pass that is included.
     pub pass: PassNo,
-    /// Counts, set by set, as [`encode_count`] writes them.
+    /// Counts of all experts, set by set, encoded by [`encode_count`].
     pub codes: Vec<u8>,
-    /// Unix milliseconds of the engine's start, where it tells them.
+    /// Start of the engine in Unix milliseconds, if the engine reports it.
     pub born_ms: Option<u64>,
 }
 
-/// Takes the difference of an engine's counts from one reading to the next.
+/// Converts an engine's cumulative counts into the counts between two readings.
 #[derive(Clone, Debug, Default)]
 pub struct CountTracker {
     last: Option<RankCounts>,
 }
 
 impl CountTracker {
-    /// Takes the next reading; gives what was counted since the one before it.
+    /// Records a reading and returns the counts since the previous one.
+    ///
+    /// Returns `None` for the first reading of an engine, and if nothing was counted since.
     pub fn record(&mut self, rank: Rank, counts: RankCounts) -> Option<CountReport> {
-        let before = self.last.replace(counts.clone())?;
-        let is_same = before.epoch == counts.epoch
-            && before.born_ms == counts.born_ms
-            && before.chosen.len() == counts.chosen.len();
-        let pairs = || before.chosen.iter().zip(&counts.chosen);
-
-        // An engine that started anew counts from zero.
-        if !is_same || pairs().any(|(before, now)| now < before) {
+        let previous = self.last.replace(counts.clone())?;
+        let is_same = previous.epoch == counts.epoch
+            && previous.born_ms == counts.born_ms
+            && previous.chosen.len() == counts.chosen.len();
+        let pairs = || previous.chosen.iter().zip(&counts.chosen);
+
+        // After a restart the engine counts from zero again.
+        if !is_same || pairs().any(|(previous, now)| now < previous) {
             return None;
         }
 
-        let codes: Vec<u8> = pairs().map(|(before, now)| encode_count(now - before)).collect();
-        let has_some = codes.iter().any(|code| *code > 0);
+        let codes: Vec<u8> = pairs().map(|(previous, now)| encode_count(now - previous)).collect();
+        let has_counts = codes.iter().any(|code| *code > 0);
 
-        has_some.then_some(CountReport {
+        has_counts.then_some(CountReport {
             epoch: counts.epoch,
             rank,
             pass: counts.pass,
@@ -74,44 +80,47 @@
     }
 }
 
-/// Bytes of counts that a leader takes in a second: a seventh of the smallest link, 8 Mbit/s.
-const COUNT_BYTES_PER_S: f64 = 150_000.0;
+/// Maximum rate of counts that a leader receives: a seventh of the slowest link of 8 Mbit/s.
+const MAX_COUNT_BYTES_PER_S: f64 = 150_000.0;
 
-/// Tells whether a rank's counts are wanted. Popularity is one of the whole group, so with many ranks a
-/// part of them is sample enough, and all counts would fill the leader's link.
-pub fn is_sampled(rank: Rank, size: Rank, counters: usize, period: Duration) -> bool {
-    let bytes_per_s = f64::from(size) * counters as f64 / period.as_secs_f64().max(1e-3);
-    let stride = (bytes_per_s / COUNT_BYTES_PER_S).ceil().max(1.0) as Rank;
+/// Returns whether a rank has to report its counts.
+///
+/// Popularity is a property of the whole group, so in a large group a subset of the ranks is a
+/// sufficient sample. The counts of all ranks would saturate the leader's link. `counters` is the
+/// number of counts (one byte each) per report, and `period` the time between reports.
+pub fn is_sampled(rank: Rank, ranks: Rank, counters: usize, period: Duration) -> bool {
+    let bytes_per_s = f64::from(ranks) * counters as f64 / period.as_secs_f64().max(1e-3);
+    let stride = (bytes_per_s / MAX_COUNT_BYTES_PER_S).ceil().max(1.0) as Rank;
 
     rank.is_multiple_of(stride)
 }
 
-/// A placement that is worth rolling out.
+/// A new placement that is worth rolling out.
 #[derive(Clone, Debug)]
 pub struct PlacementChange {
-    /// The placement.
+    /// The new placement.
     pub placement: Placement,
-    /// Skew with the placement in use.
+    /// Expected skew with the current placement.
     pub skew_before: f32,
-    /// Skew that is expected with the new one.
+    /// Expected skew with the new placement.
     pub skew_after: f32,
-    /// Experts that ranks have to copy.
+    /// Number of experts to copy, over all ranks.
     pub copies: usize,
 }
 
-/// Follows a group's counts and decides on its placement.
+/// Estimates the experts' popularity from a group's counts and decides on its placement.
 #[derive(Clone, Debug)]
 pub struct Balancer {
     options: BalancerOptions,
     popularity: Popularity,
-    pending: Vec<f32>,
+    pending_counts: Vec<f32>,
     pass: PassNo,
-    observed_pass: PassNo,
+    estimated_pass: PassNo,
     changed_at: Option<Moment>,
 }
 
 impl Balancer {
-    /// Makes a balancer that takes all experts as equally popular.
+    /// Creates a balancer that assumes equal popularity of all experts.
     pub fn new(options: BalancerOptions) -> Self {
         let counters = usize::from(options.sets) * usize::from(options.experts);
 
@@ -122,56 +131,60 @@
                 PopularityOptions::default(),
             ),
             options,
-            pending: vec![0.0; counters],
+            pending_counts: vec![0.0; counters],
             pass: 0,
-            observed_pass: 0,
+            estimated_pass: 0,
             changed_at: None,
         }
     }
 
-    /// Takes in what a rank counted.
+    /// Adds a rank's counts; they take effect with [`Balancer::update_popularity`]. A report with a
+    /// wrong number of counts is ignored.
     pub fn add_counts(&mut self, report: &CountReport) {
-        if report.codes.len() != self.pending.len() {
+        if report.codes.len() != self.pending_counts.len() {
             return;
         }
 
-        for (sum, code) in self.pending.iter_mut().zip(&report.codes) {
+        for (sum, code) in self.pending_counts.iter_mut().zip(&report.codes) {
             *sum += decode_count(*code);
         }
 
         self.pass = self.pass.max(report.pass);
     }
 
-    /// Brings the estimate up to date with what was counted.
+    /// Updates the popularity from the counts added since the last update, if there are counts of
+    /// newer passes.
     pub fn update_popularity(&mut self) {
-        if self.pass <= self.observed_pass {
+        if self.pass <= self.estimated_pass {
             return;
         }
 
         let experts = usize::from(self.options.experts);
 
-        for (layer, tokens) in self.pending.chunks(experts).enumerate() {
+        for (layer, tokens) in self.pending_counts.chunks(experts).enumerate() {
             let layer = layer as Layer;
             let counts = LayerCounts { layer, until_step: self.pass, tokens };
             self.popularity.observe(&counts);
         }
 
-        self.pending.fill(0.0);
-        self.observed_pass = self.pass;
+        self.pending_counts.fill(0.0);
+        self.estimated_pass = self.pass;
     }
 
-    /// Forgets the passes of a group that has formed anew, whose count begins again.
+    /// Discards all counts and estimates. Needed when the group forms again, since its passes are
+    /// then numbered from the start.
     pub fn reset(&mut self) {
         let options = self.options;
         *self = Balancer::new(options);
     }
 
-    /// Gets the skew that is expected with a placement.
+    /// Returns the expected skew of a placement for each rank's cost per unit of load.
     pub fn skew(&self, placement: &Placement, costs: &[f32]) -> f32 {
         placement.skew(&self.fractions(), costs)
     }
 
-    /// Gives a better placement, where one is worth rolling out.
+    /// Returns a better placement if one is worth rolling out. `costs` is each rank's time per unit
+    /// of load.
     pub fn plan(
         &mut self,
         in_use: &Placement,
--- a/grebedeck-experts/src/counter.rs
+++ b/grebedeck-experts/src/counter.rs
@@ -1,19 +1,19 @@
-//! Token counts as single bytes.
+//! Encoding of token counts in single bytes.
 //!
-//! A count only has to be as good as its own sampling noise, so it travels as its logarithm: one
-//! byte, right to within three parts in a hundred.
+//! A count need not be more accurate than its own sampling noise. It is sent as its rounded
+//! logarithm: one byte, accurate to within 3 %.
 
-/// Ratio of one code's count to the one before it.
-const GROWTH: f64 = 1.06;
+/// Ratio between the counts of two successive codes.
+const CODE_RATIO: f64 = 1.06;
 
-/// Gets the byte that stands for a count; counts over about 2.8 million are taken for that.
+/// Encodes a count in a byte; counts above about 2.8 million are encoded as that number.
 pub fn encode_count(count: u64) -> u8 {
-    let code = ((count as f64 + 1.0).ln() / GROWTH.ln()).round();
+    let code = ((count as f64 + 1.0).ln() / CODE_RATIO.ln()).round();
 
     code.min(f64::from(u8::MAX)) as u8
 }
 
-/// Gets the count that a byte stands for.
+/// Returns the count for a byte of [`encode_count`].
 pub fn decode_count(code: u8) -> f32 {
-    (GROWTH.powi(i32::from(code)) - 1.0) as f32
+    (CODE_RATIO.powi(i32::from(code)) - 1.0) as f32
 }
--- a/grebedeck-experts/src/lib.rs
+++ b/grebedeck-experts/src/lib.rs
@@ -1,10 +1,15 @@
-//! Expert maps: where each expert of a model lives, and how a group changes its mind.
+//! Placement of a model's experts on the ranks of a group, and the protocols that change it.
 //!
-//! [`Popularity`] turns late and patchy token counters into an estimate, [`Planner`] decides which
-//! map is worth its cost, and [`switch`] moves all ranks of a group to it at the same step. On engines
-//! that take a [`Placement`] of their own at a pass that they are armed for, [`assign`] finds the next
-//! one and [`rollout`] brings it to all ranks.
-//! Everything is pure: counters, time and messages come in, orders go out.
+//! [`Popularity`] estimates the load of each expert from token counts that may be late or
+//! incomplete. There are two ways to change a placement:
+//!
+//! - [`Planner`] decides which [`ExpertMap`] is worth its cost, and [`switch`] moves all ranks of
+//!   the group to it at the same step.
+//! - On engines that can be armed to adopt a [`Placement`] at a given pass, [`assign`] searches for
+//!   the next placement and [`rollout`] distributes it to all ranks.
+//!
+//! The crate does no I/O and reads no clock: counts, times and messages are inputs, and actions are
+//! outputs.
 
 #![forbid(unsafe_code)]
 
--- a/grebedeck-experts/src/map.rs
+++ b/grebedeck-experts/src/map.rs
@@ -1,39 +1,39 @@
-//! Expert maps: for each layer, the ranks that hold each expert and the share each one takes.
+//! Expert maps: for each layer, the ranks that hold each expert and their shares of its tokens.
 
 use grebedeck_core::{Expert, Layer, Rank};
 use serde::{Deserialize, Serialize};
 
-/// One copy of an expert.
+/// A copy of an expert on one rank.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Replica {
     /// The rank that holds it.
     pub rank: Rank,
-    /// The fraction of the expert's tokens that it takes.
+    /// Fraction of the expert's tokens that this replica processes.
     pub share: f32,
 }
 
-/// The placement of one layer's experts.
+/// Placement of the experts of one layer.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LayerMap {
-    /// Replicas of each expert; never empty, and on distinct ranks.
+    /// Replicas of each expert: at least one, each on a different rank.
     pub experts: Vec<Vec<Replica>>,
 }
 
-/// The placement of all experts of a model on a group's ranks.
+/// Placement of all experts of a model on the ranks of a group.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ExpertMap {
     /// Number of ranks.
     pub ranks: Rank,
-    /// How many experts of a layer each rank can hold.
+    /// Maximum number of experts of one layer that a rank can hold.
     pub slots_per_rank: u16,
-    /// The layers' placements.
+    /// Placement of each layer.
     pub layers: Vec<LayerMap>,
 }
 
-/// What differs between two maps, as it travels.
+/// Difference between two maps, as it is sent to members.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct MapDelta {
-    /// The experts that differ.
+    /// The experts whose replicas or shares differ.
     pub experts: Vec<ExpertDelta>,
 }
 
@@ -44,11 +44,11 @@
     pub layer: Layer,
     /// The expert.
     pub expert: Expert,
-    /// Ranks with their weights; a replica's share is its weight's part of their sum.
+    /// Ranks with their weights; a replica's share is its weight divided by the sum of weights.
     pub replicas: Vec<(Rank, u8)>,
 }
 
-/// Weights that a rank has to load for a new map.
+/// An expert whose weights a rank has to load for a new map.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Move {
     /// The layer of the expert.
@@ -60,7 +60,7 @@
 }
 
 impl LayerMap {
-    /// Gets each rank's load for the experts' loads.
+    /// Returns the load of each rank for the given loads of the experts.
     pub fn rank_loads(&self, expert_loads: &[f32], ranks: Rank) -> Vec<f32> {
         let mut loads = vec![0.0; usize::from(ranks)];
 
@@ -73,29 +73,33 @@
         loads
     }
 
-    /// Tells whether the rank holds the expert.
+    /// Returns whether the rank holds the expert.
     pub fn holds(&self, expert: Expert, rank: Rank) -> bool {
         self.experts[usize::from(expert)].iter().any(|r| r.rank == rank)
     }
 
-    /// Gets how many experts the rank holds.
+    /// Returns the number of experts that the rank holds.
     pub fn expert_count(&self, rank: Rank) -> usize {
         self.experts.iter().flatten().filter(|r| r.rank == rank).count()
     }
 }
 
 impl ExpertMap {
-    /// Makes a first map: each expert has one home, and spare slots hold scattered replicas.
+    /// Creates an initial map: each expert has one home rank, and the other slots hold replicas.
     ///
-    /// Replicas of the experts of one rank go to different other ranks, so that shares alone can
-    /// move load between any two ranks along a chain of experts.
+    /// Replicas of the experts of one rank go to different other ranks. Load can then move between
+    /// any two ranks, along a chain of experts, by changing shares alone.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the ranks have too few slots for one replica of each expert.
     pub fn spread(ranks: Rank, experts: Expert, layers: Layer, slots_per_rank: u16) -> Self {
         let layers = (0..layers).map(|l| spread_layer(ranks, experts, l, slots_per_rank)).collect();
 
         ExpertMap { ranks, slots_per_rank, layers }
     }
 
-    /// Gets the weights that ranks must load to get from this map to the next.
+    /// Returns the weights that ranks have to load to get from this map to the next.
     pub fn moves_to(&self, next: &ExpertMap) -> Vec<Move> {
         let mut moves = Vec::new();
 
@@ -110,7 +114,7 @@
         moves
     }
 
-    /// Gets what differs in the next map. Shares are rounded to parts of 255.
+    /// Returns the difference from this map to the next. Shares are rounded to multiples of 1/255.
     pub fn delta_to(&self, next: &ExpertMap) -> MapDelta {
         let mut experts = Vec::new();
 
@@ -129,27 +133,33 @@
         MapDelta { experts }
     }
 
-    /// Gives the map that a difference leads to, or `None` where it does not fit this map.
+    /// Returns this map with the difference applied, or `None` if it does not fit this map: an
+    /// unknown layer, expert or rank, or an expert without replicas.
     pub fn apply_delta(&self, delta: &MapDelta) -> Option<ExpertMap> {
         let mut next = self.clone();
 
         for change in &delta.experts {
             let layer = next.layers.get_mut(usize::from(change.layer))?;
             let replicas = layer.experts.get_mut(usize::from(change.expert))?;
-            *replicas = weighed(&change.replicas, self.ranks)?;
+            *replicas = replicas_from_weights(&change.replicas, self.ranks)?;
         }
 
         Some(next)
     }
 
-    /// Asserts what every map must satisfy.
+    /// Checks the invariants of a map: the shares of each expert add up to one, and no rank holds
+    /// more experts than it has slots.
+    ///
+    /// # Panics
+    ///
+    /// Panics if an invariant is violated.
     pub fn assert_valid(&self) {
         for layer in &self.layers {
             let mut held = vec![0u16; usize::from(self.ranks)];
 
             for replicas in &layer.experts {
                 let total: f32 = replicas.iter().map(|r| r.share).sum();
-                assert!((total - 1.0).abs() < 1e-3, "an expert's shares must add up to one");
+                assert!((total - 1.0).abs() < 1e-3, "the shares of an expert must add up to one");
 
                 for replica in replicas {
                     held[usize::from(replica.rank)] += 1;
@@ -162,7 +172,7 @@
     }
 }
 
-fn weighed(weights: &[(Rank, u8)], ranks: Rank) -> Option<Vec<Replica>> {
+fn replicas_from_weights(weights: &[(Rank, u8)], ranks: Rank) -> Option<Vec<Replica>> {
     let sum: u32 = weights.iter().map(|(_, w)| u32::from(*w)).sum();
 
     if weights.is_empty() || weights.iter().any(|(rank, _)| *rank >= ranks) {
@@ -180,38 +190,39 @@
 fn spread_layer(ranks: Rank, experts: Expert, layer: Layer, slots_per_rank: u16) -> LayerMap {
     let ranks_len = usize::from(ranks);
     let mut held = vec![0u16; ranks_len];
-    let mut placed: Vec<Vec<Rank>> = vec![Vec::new(); usize::from(experts)];
+    let mut holders: Vec<Vec<Rank>> = vec![Vec::new(); usize::from(experts)];
 
-    for (expert, on) in placed.iter_mut().enumerate() {
+    for (expert, expert_ranks) in holders.iter_mut().enumerate() {
         let home = (expert + usize::from(layer)) % ranks_len;
-        on.push(home as Rank);
+        expert_ranks.push(home as Rank);
         held[home] += 1;
     }
 
-    assert!(held.iter().all(|h| *h <= slots_per_rank), "there are too few slots for the experts");
+    assert!(held.iter().all(|h| *h <= slots_per_rank), "too few slots for the experts");
 
-    // Each round gives every expert one more replica, at a distance that differs from expert to
-    // expert, until no slot is left.
+    // Each round adds one replica per expert while slots are free. The distance from the home rank
+    // differs from expert to expert.
     for round in 0..ranks_len {
-        for (expert, on) in placed.iter_mut().enumerate() {
+        for (expert, expert_ranks) in holders.iter_mut().enumerate() {
             let stride =
                 1 + (expert / ranks_len + round * 3 + usize::from(layer)) % (ranks_len - 1).max(1);
-            let start = usize::from(on[0]);
-            let open = |r: &usize| held[*r] < slots_per_rank && !on.contains(&(*r as Rank));
+            let start = usize::from(expert_ranks[0]);
+            let is_free =
+                |r: &usize| held[*r] < slots_per_rank && !expert_ranks.contains(&(*r as Rank));
             let candidate =
-                (0..ranks_len).map(|k| (start + stride * (k + 1)) % ranks_len).find(open);
+                (0..ranks_len).map(|k| (start + stride * (k + 1)) % ranks_len).find(is_free);
 
             if let Some(rank) = candidate.filter(|_| (expert + round) % 2 == 0 || round > 0) {
-                on.push(rank as Rank);
+                expert_ranks.push(rank as Rank);
                 held[rank] += 1;
             }
         }
     }
 
-    let even = |on: Vec<Rank>| {
-        let share = 1.0 / on.len() as f32;
-        on.into_iter().map(|rank| Replica { rank, share }).collect()
+    let with_equal_shares = |expert_ranks: Vec<Rank>| {
+        let share = 1.0 / expert_ranks.len() as f32;
+        expert_ranks.into_iter().map(|rank| Replica { rank, share }).collect()
     };
 
-    LayerMap { experts: placed.into_iter().map(even).collect() }
+    LayerMap { experts: holders.into_iter().map(with_equal_shares).collect() }
 }
