--- a/grebedeck-experts/src/plan.rs
+++ b/grebedeck-experts/src/plan.rs
@@ -1,10 +1,11 @@
-//! Deciding which map comes next, and whether it is worth its cost.
+//! Decides on the next expert map of a group and whether it is worth its cost.
 //!
-//! Shares are levelled first, since that moves no weights. Only where a rank stays above its
-//! layer's ideal does the planner look for one replica to load: the expert that weighs most on the
-//! slowest rank, on a rank that has little to do, in place of the replica that is missed least.
-//! A move is taken if what it saves over the time that popularity is expected to hold, weighed by
-//! the group's profile, exceeds what loading it costs.
+//! The planner balances the shares of replicas first, since that loads no weights. While the slowest
+//! rank of a layer remains above the ideal time, it considers loading one more replica: one of the
+//! heaviest experts of the slowest rank, on one of the least loaded ranks, where it evicts the replica
+//! with the lowest load if no slot is free. A move is accepted if the time that it saves, over the
+//! period for which popularity is expected to last and weighted by the options, exceeds the cost of
+//! loading.
 
 use grebedeck_core::{Expert, Layer, Moment, Rank};
 
@@ -12,28 +13,28 @@
 use crate::popularity::Popularity;
 use crate::share::{DEFAULT_PASSES, balance};
 
-/// Settings of the planner. Times are in milliseconds of a group's step time.
+/// Options of the planner. Costs are expressed in milliseconds of a group's step time.
 #[derive(Clone, Debug)]
 pub struct PlanOptions {
-    /// How far above the ideal the slowest rank may stay, as a fraction.
+    /// Accepted excess of the slowest rank's time over the ideal time, as a fraction.
     pub tolerance: f32,
-    /// Smallest gain that is worth a switch, as a fraction of a layer's ideal time.
+    /// Minimum gain for a change of a layer, as a fraction of the layer's ideal time.
     pub min_gain: f32,
     /// Weight of step time in the total cost.
     pub skew_weight: f32,
-    /// Weight of moved weights and of switches in the total cost.
+    /// Weight of loading experts and of switches in the total cost.
     pub cost_weight: f32,
     /// Cost of loading one expert of one layer, in milliseconds.
     pub move_cost_ms: f32,
-    /// Cost of a switch without any moves, in milliseconds.
+    /// Cost of a switch without moves, in milliseconds.
     pub switch_cost_ms: f32,
-    /// Steps that pass between a change of popularity and the switch that answers it.
+    /// Steps from a change of popularity to the switch that follows it.
     pub lag_steps: f32,
-    /// Usual time of a step, in milliseconds.
+    /// Typical duration of a step, in milliseconds.
     pub step_ms: f32,
-    /// Longest time over which a gain is counted, in steps.
+    /// Maximum period over which a gain is counted, in steps.
     pub max_horizon_steps: f32,
-    /// Most moves in one plan, so that a plan is loaded before it is out of date.
+    /// Maximum number of moves in one plan, so that loading ends before the plan is stale.
     pub max_moves: usize,
 }
 
@@ -54,19 +55,20 @@
     }
 }
 
-/// What the planner knows of the group.
+/// The planner's input: the state of a group.
 #[derive(Clone, Debug)]
 pub struct GroupState<'a> {
-    /// The map in use.
+    /// The current map.
     pub map: &'a ExpertMap,
     /// The estimated popularity.
     pub popularity: &'a Popularity,
-    /// Time that all tokens of one layer would take on a single rank of normal speed, in
+    /// Time that a single rank of normal speed would need for all tokens of one layer, in
     /// milliseconds.
     pub layer_work_ms: f32,
-    /// Each rank's time per token, relative to a normal rank.
+    /// Time per token of each rank, relative to a rank of normal speed.
     pub rank_costs: &'a [f32],
-    /// Most experts whose placement or shares may change, since each has to be sent to every member.
+    /// Maximum number of experts whose replicas or shares may change; each changed expert is sent to
+    /// every member.
     pub max_changed_experts: usize,
 }
 
@@ -75,59 +77,60 @@
 pub struct Plan {
     /// The proposed map.
     pub map: ExpertMap,
-    /// The weights that it needs loaded, best gain first.
+    /// The experts to load, those with the highest gain first.
     pub moves: Vec<Move>,
-    /// The expected gain in milliseconds per step.
+    /// Expected gain in milliseconds per step.
     pub gain_ms_per_step: f32,
 }
 
-/// Budget for what is sent of maps: a bucket that time fills and changed experts empty.
+/// Token bucket that limits the size of map changes sent to members, in changed experts.
 #[derive(Clone, Debug)]
 pub struct ChangeBudget {
-    saved: f32,
-    filled_at: Moment,
+    available: f32,
+    refilled_at: Moment,
 }
 
-/// Changed experts that the budget allows each second; about 6 bytes of each go to every member.
-const CHANGED_PER_S: f32 = 200.0;
-/// Changed experts that can be saved up: a whole map of 60 layers with 128 experts.
-const MAX_CHANGED_SAVED: f32 = 7_680.0;
+/// Refill rate of [`ChangeBudget`]; each changed expert takes about 6 bytes per member.
+const CHANGED_EXPERTS_PER_S: f32 = 200.0;
+/// Capacity of [`ChangeBudget`]: a whole map of 60 layers with 128 experts.
+const MAX_SAVED_CHANGED_EXPERTS: f32 = 7_680.0;
 
 impl Default for ChangeBudget {
     fn default() -> Self {
-        ChangeBudget { saved: MAX_CHANGED_SAVED, filled_at: Moment::ZERO }
+        ChangeBudget { available: MAX_SAVED_CHANGED_EXPERTS, refilled_at: Moment::ZERO }
     }
 }
 
 impl ChangeBudget {
-    /// Gets how many experts may change now.
+    /// Refills the bucket and returns how many experts may change now.
     pub fn available(&mut self, now: Moment) -> usize {
-        let passed_s = now.saturating_sub(self.filled_at).as_secs_f32();
-        self.filled_at = now;
-        self.saved = (self.saved + passed_s * CHANGED_PER_S).min(MAX_CHANGED_SAVED);
+        let elapsed_s = now.saturating_sub(self.refilled_at).as_secs_f32();
+        self.refilled_at = now;
+        self.available =
+            (self.available + elapsed_s * CHANGED_EXPERTS_PER_S).min(MAX_SAVED_CHANGED_EXPERTS);
 
-        self.saved.max(0.0) as usize
+        self.available.max(0.0) as usize
     }
 
-    /// Notes what a plan changes.
+    /// Removes the number of changed experts of a plan from the bucket.
     pub fn spend(&mut self, changed: usize) {
-        self.saved -= changed as f32;
+        self.available -= changed as f32;
     }
 }
 
-/// Decides on the next map of a group.
+/// Decides on the next map of a group; see the [module](self).
 #[derive(Clone, Debug, Default)]
 pub struct Planner {
     options: PlanOptions,
 }
 
-/// A layer that is worth changing.
+/// A proposed change of one layer.
 struct LayerPlan {
     layer: Layer,
     map: LayerMap,
     moves: Vec<(Move, f32)>,
     gain: f32,
-    /// Experts whose placement or shares change.
+    /// Number of experts whose replicas or shares change.
     changed: usize,
 }
 
@@ -142,27 +145,28 @@
 }
 
 impl Planner {
-    /// Makes a planner.
+    /// Creates a planner.
     pub fn new(options: PlanOptions) -> Self {
         Planner { options }
     }
 
-    /// Gives a better map where one is worth its cost.
+    /// Returns a better map if one is worth its cost.
     pub fn plan(&self, group: &GroupState<'_>) -> Option<Plan> {
         let layers = group.map.layers.len();
-        // Every layer may ask for a move, and those that gain the most get it.
-        let room = self.options.max_moves.div_ceil(layers.max(1));
+        // Every layer may propose at least one move; `limit_moves` keeps those that gain most.
+        let max_layer_moves = self.options.max_moves.div_ceil(layers.max(1));
         let all = 0..layers as Layer;
-        let mut plans: Vec<_> = all.filter_map(|l| self.plan_layer(group, l, room)).collect();
+        let mut plans: Vec<_> =
+            all.filter_map(|l| self.plan_layer(group, l, max_layer_moves)).collect();
 
-        self.share_moves(group, &mut plans);
-        keep_best(&mut plans, group.max_changed_experts);
-        let worth: f32 = plans.iter().map(|p| self.worth(group, p)).sum();
+        self.limit_moves(group, &mut plans);
+        limit_changed_experts(&mut plans, group.max_changed_experts);
+        let saved_ms: f32 = plans.iter().map(|p| self.saved_ms(group, p)).sum();
         let mut moves: Vec<_> = plans.iter().flat_map(|p| &p.moves).copied().collect();
-        let moving = moves.len() as f32 * self.options.move_cost_ms;
-        let cost = (self.options.switch_cost_ms + moving) * self.options.cost_weight;
+        let move_cost_ms_sum = moves.len() as f32 * self.options.move_cost_ms;
+        let cost = (self.options.switch_cost_ms + move_cost_ms_sum) * self.options.cost_weight;
 
-        if plans.is_empty() || worth <= cost {
+        if plans.is_empty() || saved_ms <= cost {
             return None;
         }
 
@@ -181,8 +185,9 @@
         })
     }
 
-    /// Lets only the layers that gain the most load weights; the others change shares alone.
-    fn share_moves(&self, group: &GroupState<'_>, plans: &mut Vec<LayerPlan>) {
+    /// Keeps the moves of the layers that gain most by moves, up to the maximum; the other layers are
+    /// planned again with changes of shares alone.
+    fn limit_moves(&self, group: &GroupState<'_>, plans: &mut Vec<LayerPlan>) {
         plans.sort_by(|a, b| b.move_gain().total_cmp(&a.move_gain()));
         let mut moves = 0;
 
@@ -197,27 +202,32 @@
         }
     }
 
-    /// Gets what a layer's gain is worth over the time that it lasts, in milliseconds.
-    fn worth(&self, group: &GroupState<'_>, plan: &LayerPlan) -> f32 {
-        let horizon = self.horizon(group, plan.layer, plan.moves.len());
+    /// Returns the weighted time saved by a layer's plan over its horizon, in milliseconds.
+    fn saved_ms(&self, group: &GroupState<'_>, plan: &LayerPlan) -> f32 {
+        let horizon_ms = self.horizon_ms(group, plan.layer, plan.moves.len());
 
-        plan.gain * horizon * self.options.skew_weight
+        plan.gain * horizon_ms * self.options.skew_weight
     }
 
-    /// Gets the time over which a gain of one unit of a layer's work counts, in milliseconds, where
-    /// `moves` weights have to be loaded first.
-    fn horizon(&self, group: &GroupState<'_>, layer: Layer, moves: usize) -> f32 {
+    /// Returns the time saved by a gain of one unit of the layer's work over the period for which it
+    /// lasts, in milliseconds, if `moves` experts have to be loaded first.
+    fn horizon_ms(&self, group: &GroupState<'_>, layer: Layer, moves: usize) -> f32 {
         let options = &self.options;
-        let lasts = group.popularity.horizon_steps(layer).min(options.max_horizon_steps);
+        let expected_steps = group.popularity.horizon_steps(layer).min(options.max_horizon_steps);
         let loading_steps = moves as f32 * options.move_cost_ms / options.step_ms;
-        let left = lasts - options.lag_steps - loading_steps;
-        // Shares answer what is now, so new ones are worth it at least until the next decision.
-        let least = if moves == 0 { options.lag_steps } else { 0.0 };
+        let remaining_steps = expected_steps - options.lag_steps - loading_steps;
+        // New shares take effect without loading, so they count at least until the next decision.
+        let min_steps = if moves == 0 { options.lag_steps } else { 0.0 };
 
-        left.max(least) * group.layer_work_ms
+        remaining_steps.max(min_steps) * group.layer_work_ms
     }
 
-    fn plan_layer(&self, group: &GroupState<'_>, layer: Layer, room: usize) -> Option<LayerPlan> {
+    fn plan_layer(
+        &self,
+        group: &GroupState<'_>,
+        layer: Layer,
+        max_layer_moves: usize,
+    ) -> Option<LayerPlan> {
         let fractions = group.popularity.fractions(layer);
         let costs = group.rank_costs;
         let mut map = group.map.layers[usize::from(layer)].clone();
@@ -227,33 +237,34 @@
         let mut moves: Vec<(Move, f32)> = Vec::new();
 
         let ideal = ideal_time(costs);
-        let price = self.options.move_cost_ms * self.options.cost_weight;
+        let move_cost = self.options.move_cost_ms * self.options.cost_weight;
 
-        while moves.len() < room {
+        while moves.len() < max_layer_moves {
             let now = max_rank_time(&loads, costs);
 
             if now <= ideal * (1.0 + self.options.tolerance) {
                 break;
             }
 
-            let Some(step) = best_move(&map, fractions, &loads, costs, group.map.slots_per_rank)
+            let Some(candidate) =
+                best_move(&map, fractions, &loads, costs, group.map.slots_per_rank)
             else {
                 break;
             };
 
-            let gain = now - step.slowest;
-            let horizon = self.horizon(group, layer, moves.len() + 1);
+            let gain = now - candidate.max_time;
+            let horizon_ms = self.horizon_ms(group, layer, moves.len() + 1);
 
-            if gain * horizon * self.options.skew_weight <= price {
+            if gain * horizon_ms * self.options.skew_weight <= move_cost {
                 break;
             }
 
-            moves.push((Move { layer, expert: step.expert, rank: step.to }, gain));
-            map = step.map;
-            loads = step.loads;
+            moves.push((Move { layer, expert: candidate.expert, rank: candidate.to }, gain));
+            map = candidate.map;
+            loads = candidate.loads;
         }
 
-        // A later move may have taken an earlier one's place, or brought back what was there.
+        // A later move may have evicted the replica of an earlier one, or restored an evicted replica.
         let in_use = &group.map.layers[usize::from(layer)];
         moves.retain(|(m, _)| map.holds(m.expert, m.rank) && !in_use.holds(m.expert, m.rank));
         moves.sort_by_key(|(m, _)| (m.expert, m.rank));
@@ -261,7 +272,7 @@
 
         let gain = before - max_rank_time(&loads, costs);
 
-        // What is within the noise stays as it is, so that the difference of maps stays small.
+        // Gains within the noise are ignored, which keeps the difference between the maps small.
         if gain < self.options.min_gain * ideal {
             return None;
         }
@@ -272,8 +283,8 @@
     }
 }
 
-/// Keeps the layers that gain the most for what has to be sent of them.
-fn keep_best(plans: &mut Vec<LayerPlan>, max_changed_experts: usize) {
+/// Keeps the layers with the highest gain per changed expert, up to `max_changed_experts`.
+fn limit_changed_experts(plans: &mut Vec<LayerPlan>, max_changed_experts: usize) {
     plans.sort_by(|a, b| b.gain_per_changed().total_cmp(&a.gain_per_changed()));
     let mut changed = 0;
 
@@ -283,19 +294,20 @@
     });
 }
 
+/// A tried move with the resulting map and loads of the layer.
 struct Candidate {
     expert: Expert,
     to: Rank,
     map: LayerMap,
     loads: Vec<f32>,
-    slowest: f32,
+    max_time: f32,
 }
 
-/// How many of the heaviest experts of the slowest rank are tried.
-const EXPERTS_TRIED: usize = 2;
-/// How many of the least loaded ranks are tried for each.
-const RANKS_TRIED: usize = 3;
-/// Passes when comparing candidates.
+/// Number of experts of the slowest rank, the heaviest ones, that are tried as a move.
+const TRIED_EXPERTS: usize = 2;
+/// Number of ranks, the least loaded ones, that are tried for each expert.
+const TRIED_RANKS: usize = 3;
+/// Passes of share balancing for each tried move.
 const CANDIDATE_PASSES: usize = 6;
 
 fn best_move(
@@ -306,17 +318,19 @@
     slots_per_rank: u16,
 ) -> Option<Candidate> {
     let from = slowest_rank(loads, costs);
-    let mut tried = Vec::new();
+    let mut candidates = Vec::new();
 
-    for expert in heaviest_on(map, fractions, from).into_iter().take(EXPERTS_TRIED) {
-        let open = |r: &Rank| !map.holds(expert, *r);
+    for expert in experts_by_load(map, fractions, from).into_iter().take(TRIED_EXPERTS) {
+        let is_without_replica = |r: &Rank| !map.holds(expert, *r);
 
-        for to in idlest(loads, costs).into_iter().filter(open).take(RANKS_TRIED) {
-            tried.extend(try_move(map, fractions, costs, slots_per_rank, expert, to));
+        for to in
+            ranks_by_time(loads, costs).into_iter().filter(is_without_replica).take(TRIED_RANKS)
+        {
+            candidates.extend(try_move(map, fractions, costs, slots_per_rank, expert, to));
         }
     }
 
-    tried.into_iter().min_by(|a, b| a.slowest.total_cmp(&b.slowest))
+    candidates.into_iter().min_by(|a, b| a.max_time.total_cmp(&b.max_time))
 }
 
 fn try_move(
@@ -330,31 +344,31 @@
     let mut next = map.clone();
 
     if next.expert_count(to) >= usize::from(slots_per_rank) {
-        let evicted = least_missed(&next, fractions, to)?;
+        let evicted = least_loaded_replica(&next, fractions, to)?;
         evict(&mut next.experts[usize::from(evicted)], to);
     }
 
     next.experts[usize::from(expert)].push(Replica { rank: to, share: 0.0 });
     let loads = balance(&mut next, fractions, costs, CANDIDATE_PASSES);
-    let slowest = max_rank_time(&loads, costs);
+    let max_time = max_rank_time(&loads, costs);
 
-    Some(Candidate { expert, to, map: next, loads, slowest })
+    Some(Candidate { expert, to, map: next, loads, max_time })
 }
 
-/// Finds the replica on a rank that takes the least load and is not its expert's only one.
-fn least_missed(map: &LayerMap, fractions: &[f32], rank: Rank) -> Option<Expert> {
-    let taken = |expert: usize| {
+/// Returns the expert whose replica on the rank has the lowest load, of those with other replicas.
+fn least_loaded_replica(map: &LayerMap, fractions: &[f32], rank: Rank) -> Option<Expert> {
+    let load_of = |expert: usize| {
         let replicas = &map.experts[expert];
         let own = replicas.iter().find(|r| r.rank == rank)?;
 
         (replicas.len() > 1).then_some((expert as Expert, own.share * fractions[expert]))
     };
 
-    let least = (0..map.experts.len()).filter_map(taken).min_by(|a, b| a.1.total_cmp(&b.1));
+    let least = (0..map.experts.len()).filter_map(load_of).min_by(|a, b| a.1.total_cmp(&b.1));
     least.map(|(expert, _)| expert)
 }
 
-/// Removes a rank's replica and gives its share to the others.
+/// Removes a rank's replica and distributes its share to the others.
 fn evict(replicas: &mut Vec<Replica>, rank: Rank) {
     replicas.retain(|r| r.rank != rank);
     let total: f32 = replicas.iter().map(|r| r.share).sum();
@@ -365,7 +379,7 @@
     }
 }
 
-fn heaviest_on(map: &LayerMap, fractions: &[f32], rank: Rank) -> Vec<Expert> {
+fn experts_by_load(map: &LayerMap, fractions: &[f32], rank: Rank) -> Vec<Expert> {
     let load_of = |expert: usize| {
         let own = map.experts[expert].iter().find(|r| r.rank == rank)?;
 
@@ -377,7 +391,7 @@
     held.into_iter().map(|(expert, _)| expert).collect()
 }
 
-fn idlest(loads: &[f32], costs: &[f32]) -> Vec<Rank> {
+fn ranks_by_time(loads: &[f32], costs: &[f32]) -> Vec<Rank> {
     let mut ranks: Vec<Rank> = (0..loads.len() as Rank).collect();
     let time = |r: &Rank| loads[usize::from(*r)] * costs[usize::from(*r)];
     ranks.sort_by(|a, b| time(a).total_cmp(&time(b)));
@@ -386,15 +400,15 @@
 }
 
 fn slowest_rank(loads: &[f32], costs: &[f32]) -> Rank {
-    idlest(loads, costs).last().copied().unwrap_or(0)
+    ranks_by_time(loads, costs).last().copied().unwrap_or(0)
 }
 
-/// Gets the time that a layer would take if all ranks were level, in units of its whole work.
+/// Returns the time of a layer with perfect balance, in units of the layer's whole work.
 fn ideal_time(costs: &[f32]) -> f32 {
     1.0 / costs.iter().map(|c| 1.0 / c).sum::<f32>()
 }
 
-/// Gets the slowest rank's time, in units of the layer's whole work.
+/// Returns the slowest rank's time, in units of the layer's whole work.
 pub fn max_rank_time(loads: &[f32], costs: &[f32]) -> f32 {
     loads.iter().zip(costs).map(|(l, c)| l * c).fold(0.0, f32::max)
 }
--- a/grebedeck-experts/src/popularity.rs
+++ b/grebedeck-experts/src/popularity.rs
@@ -1,20 +1,22 @@
-//! Estimate of how many tokens go to each expert, from late and patchy counters.
+//! Estimates the fraction of tokens that each expert receives, from late or incomplete counts.
 //!
-//! Each expert's fraction of its layer's tokens is followed by a scalar Kalman filter. Sampling
-//! noise is known from the number of tokens counted, and what the innovations show beyond it is
-//! drift; so the filter is calm on noise and fast after a swing. Counters that come late or twice
-//! are recognised by their step range and left out; after a gap the estimate is only less certain.
+//! A scalar Kalman filter tracks each expert's fraction of its layer's tokens. The sampling noise
+//! follows from the number of counted tokens; variance of the innovations beyond it is taken as
+//! drift. The filter therefore smooths noise and follows an abrupt shift quickly. Late and duplicate
+//! counts are recognised by their step and ignored. A gap in the counts only makes the estimate less
+//! certain.
 
 use grebedeck_core::{Layer, Step};
 
-/// Settings of the estimator.
+/// Options of the estimator.
 #[derive(Clone, Debug)]
 pub struct PopularityOptions {
-    /// How much more the counts vary than independent tokens would.
+    /// Ratio of the variance of the counts to that of independently routed tokens.
     pub overdispersion: f32,
-    /// Weight of the newest innovation in the estimate of drift.
+    /// Weight of the newest innovation in the drift estimate, for decreasing drift. Increasing drift
+    /// has three times this weight, at most 1.
     pub drift_gain: f32,
-    /// Smallest weight of a new count, so that the estimate never freezes.
+    /// Minimum weight of a new count, so that the estimate never stops adapting.
     pub min_gain: f32,
 }
 
@@ -27,11 +29,11 @@
 /// Token counts of one layer over a range of steps.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LayerCounts<'a> {
-    /// The layer that was counted.
+    /// The counted layer.
     pub layer: Layer,
-    /// First step after the counted range.
+    /// End of the counted range of steps, exclusive.
     pub until_step: Step,
-    /// Tokens routed to each expert.
+    /// Number of tokens routed to each expert.
     pub tokens: &'a [f32],
 }
 
@@ -39,59 +41,61 @@
 struct LayerEstimate {
     fractions: Vec<f32>,
     variances: Vec<f32>,
-    /// Variance that drift and swings add per step, over all experts of the layer.
+    /// Variance per step due to drift and shifts, summed over the layer's experts.
     drift_per_step: f32,
-    /// The same, without sharp swings.
-    calm_drift_per_step: f32,
-    swings: Swings,
+    /// Variance per step without abrupt shifts.
+    gradual_drift_per_step: f32,
+    shifts: ShiftHistory,
     reports: u32,
     until_step: Step,
 }
 
-/// When sharp swings came, to tell how long the next quiet time may last.
+/// History of abrupt shifts, used to predict the time until the next one.
 #[derive(Clone, Debug, Default)]
-struct Swings {
+struct ShiftHistory {
     last_step: Option<Step>,
-    /// Reports in a row that showed a swing.
-    in_row: u32,
-    /// Usual steps from one swing to the next; none until two were seen.
+    /// Number of consecutive reports that showed a shift.
+    consecutive_reports: u32,
+    /// Smoothed number of steps between shifts; `None` until an interval was observed.
     interval_steps: Option<f32>,
 }
 
-/// Part of the layer's squared popularity that a report must differ by to count as a swing.
-const SWING_PART: f32 = 0.1;
-/// Reports in a row after which a swing no longer counts as a single one.
-const SWING_REPORTS: u32 = 3;
+/// Minimum squared deviation of a report that counts as a shift, as a fraction of the sum of the
+/// squared popularities.
+const SHIFT_FRACTION: f32 = 0.1;
+/// Number of consecutive reports with a shift from which on they count as repeated shifts.
+const REPEATED_SHIFT_REPORTS: u32 = 3;
 
-impl Swings {
-    fn note(&mut self, is_swing: bool, until_step: Step, report_steps: f32) {
-        if !is_swing {
-            self.in_row = 0;
+impl ShiftHistory {
+    fn record(&mut self, is_shift: bool, until_step: Step, report_steps: f32) {
+        if !is_shift {
+            self.consecutive_reports = 0;
             return;
         }
 
-        self.in_row += 1;
+        self.consecutive_reports += 1;
 
-        if self.in_row == 1 {
-            let since = self.last_step.replace(until_step).map(|last| (until_step - last) as f32);
-            self.learn(since);
-        } else if self.in_row >= SWING_REPORTS {
-            // Swings that follow each other faster than reports do look like one without end.
-            self.learn(Some(report_steps * SWING_REPORTS as f32));
+        if self.consecutive_reports == 1 {
+            let interval =
+                self.last_step.replace(until_step).map(|last| (until_step - last) as f32);
+            self.update_interval(interval);
+        } else if self.consecutive_reports >= REPEATED_SHIFT_REPORTS {
+            // Shifts that are more frequent than reports appear as one endless shift.
+            self.update_interval(Some(report_steps * REPEATED_SHIFT_REPORTS as f32));
         }
     }
 
-    fn learn(&mut self, interval: Option<f32>) {
+    fn update_interval(&mut self, interval: Option<f32>) {
         let Some(interval) = interval else {
             return;
         };
 
-        let known = self.interval_steps.unwrap_or(interval);
-        self.interval_steps = Some(0.5 * (known + interval));
+        let previous = self.interval_steps.unwrap_or(interval);
+        self.interval_steps = Some(0.5 * (previous + interval));
     }
 }
 
-/// The estimate for all layers of a model.
+/// Estimated popularity of the experts in all layers of a model.
 #[derive(Clone, Debug)]
 pub struct Popularity {
     options: PopularityOptions,
@@ -99,16 +103,16 @@
 }
 
 impl Popularity {
-    /// Makes an estimate that takes all experts as equally popular.
+    /// Creates an estimate that assumes equal popularity of all experts.
     pub fn new(layers: Layer, experts: u16, options: PopularityOptions) -> Self {
-        let even = 1.0 / f32::from(experts);
+        let equal_fraction = 1.0 / f32::from(experts);
         let layer = LayerEstimate {
-            fractions: vec![even; usize::from(experts)],
-            // Nothing is known yet, so the first count is taken nearly as it is.
-            variances: vec![even * even * 4.0; usize::from(experts)],
+            fractions: vec![equal_fraction; usize::from(experts)],
+            // The high variance lets the first count replace the initial estimate almost completely.
+            variances: vec![equal_fraction * equal_fraction * 4.0; usize::from(experts)],
             drift_per_step: 0.0,
-            calm_drift_per_step: 0.0,
-            swings: Swings::default(),
+            gradual_drift_per_step: 0.0,
+            shifts: ShiftHistory::default(),
             reports: 0,
             until_step: 0,
         };
@@ -116,16 +120,19 @@
         Popularity { options, layers: vec![layer; usize::from(layers)] }
     }
 
-    /// Takes in counts; tells whether they were new.
+    /// Updates the estimate with counts.
+    ///
+    /// Returns `false` and ignores them if they are empty, not newer than the last ones, or of an
+    /// unknown layer or a different number of experts.
     pub fn observe(&mut self, counts: &LayerCounts<'_>) -> bool {
         let Some(layer) = self.layers.get_mut(usize::from(counts.layer)) else {
             return false;
         };
 
         let total: f32 = counts.tokens.iter().sum();
-        let known = counts.tokens.len() == layer.fractions.len();
+        let is_known_size = counts.tokens.len() == layer.fractions.len();
 
-        if counts.until_step <= layer.until_step || total <= 0.0 || !known {
+        if counts.until_step <= layer.until_step || total <= 0.0 || !is_known_size {
             return false;
         }
 
@@ -136,25 +143,25 @@
         true
     }
 
-    /// Gets each expert's fraction of the layer's tokens; they add up to one.
+    /// Returns each expert's fraction of the layer's tokens; the fractions add up to one.
     pub fn fractions(&self, layer: Layer) -> &[f32] {
         &self.layers[usize::from(layer)].fractions
     }
 
-    /// Gets for how many steps a layer's popularity is expected to stay much as it is.
+    /// Returns the number of steps for which a layer's popularity is expected to remain similar.
     ///
-    /// That is until slow drift has moved about a tenth of the tokens, or until the next sharp
-    /// swing, judged by those that were seen.
+    /// The horizon ends when gradual drift has moved about a tenth of the tokens between experts, or
+    /// after the usual interval between abrupt shifts, whichever is earlier.
     pub fn horizon_steps(&self, layer: Layer) -> f32 {
         let layer = &self.layers[usize::from(layer)];
         let experts = layer.fractions.len() as f32;
-        // The drift's variance is summed over experts; a tenth of all tokens moving between
-        // experts corresponds to this much of it.
-        let tolerated = 0.16 / experts;
-        let drift = layer.calm_drift_per_step;
-        let by_drift = if drift <= 0.0 { f32::INFINITY } else { tolerated / drift };
+        // The variance of the drift is summed over the experts. This value corresponds to a tenth of
+        // all tokens moving between experts.
+        let max_variance = 0.16 / experts;
+        let drift = layer.gradual_drift_per_step;
+        let drift_horizon = if drift <= 0.0 { f32::INFINITY } else { max_variance / drift };
 
-        by_drift.min(layer.swings.interval_steps.unwrap_or(f32::INFINITY))
+        drift_horizon.min(layer.shifts.interval_steps.unwrap_or(f32::INFINITY))
     }
 }
 
@@ -168,13 +175,13 @@
             .collect();
 
         self.update_drift(tokens, total, steps, &noise, options);
-        let drift_each = self.drift_per_step * steps / self.fractions.len() as f32;
-        let even = 1.0 / self.fractions.len() as f32;
+        let mean_drift = self.drift_per_step * steps / self.fractions.len() as f32;
+        let equal_fraction = 1.0 / self.fractions.len() as f32;
 
         for (at, count) in tokens.iter().enumerate() {
-            // Popular experts drift by more, in proportion to their popularity.
-            let weight = self.fractions[at] / even;
-            let prior = self.variances[at] + drift_each * weight;
+            // The variance of the drift is proportional to an expert's popularity.
+            let weight = self.fractions[at] / equal_fraction;
+            let prior = self.variances[at] + mean_drift * weight;
             let gain = (prior / (prior + noise[at])).clamp(options.min_gain, 1.0);
 
             self.fractions[at] += gain * (count / total - self.fractions[at]);
@@ -193,36 +200,36 @@
         noise: &[f32],
         options: &PopularityOptions,
     ) {
-        let mut surplus = 0.0;
+        let mut excess_variance = 0.0;
 
         for (at, count) in tokens.iter().enumerate() {
             let innovation = count / total - self.fractions[at];
-            surplus += innovation * innovation - noise[at] - self.variances[at];
+            excess_variance += innovation * innovation - noise[at] - self.variances[at];
         }
 
-        let squared: f32 = self.fractions.iter().map(|f| f * f).sum();
-        // The first report differs from an estimate that knew nothing.
-        let is_swing = self.reports > 0 && surplus > SWING_PART * squared;
-        self.swings.note(is_swing, self.until_step, steps);
+        let sum_of_squares: f32 = self.fractions.iter().map(|f| f * f).sum();
+        // The first report differs from the initial estimate without a shift.
+        let is_shift = self.reports > 0 && excess_variance > SHIFT_FRACTION * sum_of_squares;
+        self.shifts.record(is_shift, self.until_step, steps);
         self.reports += 1;
 
-        let seen = (surplus / steps).max(0.0);
+        let observed = (excess_variance / steps).max(0.0);
 
-        if !is_swing && self.reports > SWING_REPORTS {
+        if !is_shift && self.reports > REPEATED_SHIFT_REPORTS {
             let gain = options.drift_gain;
-            self.calm_drift_per_step += gain * (seen - self.calm_drift_per_step);
+            self.gradual_drift_per_step += gain * (observed - self.gradual_drift_per_step);
         }
 
-        let rises = seen > self.drift_per_step;
-        // A swing must show at once, and calm is believed slowly.
-        let gain = if rises { (options.drift_gain * 3.0).min(1.0) } else { options.drift_gain };
-        self.drift_per_step += gain * (seen - self.drift_per_step);
+        let is_rising = observed > self.drift_per_step;
+        // Increases are followed quickly so that a shift takes effect at once; decreases, slowly.
+        let gain = if is_rising { (options.drift_gain * 3.0).min(1.0) } else { options.drift_gain };
+        self.drift_per_step += gain * (observed - self.drift_per_step);
     }
 }
 
-fn sampling_variance(estimate: f32, seen: f32, total: f32, overdispersion: f32) -> f32 {
-    // The mean of both keeps the noise from vanishing where one of them is zero.
-    let fraction = 0.5 * (estimate + seen) + 0.5 / total;
+fn sampling_variance(estimate: f32, observed: f32, total: f32, overdispersion: f32) -> f32 {
+    // The mean of both fractions keeps the noise above zero if one of them is zero.
+    let fraction = 0.5 * (estimate + observed) + 0.5 / total;
 
     overdispersion * fraction / total
 }
--- a/grebedeck-experts/src/share.rs
+++ b/grebedeck-experts/src/share.rs
@@ -1,20 +1,20 @@
-//! Splitting the load of replicated experts between their ranks.
+//! Balances ranks by the shares with which the replicas of an expert split its load.
 //!
-//! Changing shares moves no weights. Each expert's load is poured over its ranks so that they end
-//! level, given what the other experts put on them; a few passes over all experts come close to
-//! the split with the lowest maximum, since the sum of squares that each pass lowers has its
-//! minimum there.
+//! Changing shares loads no weights. Each expert's load is distributed over its ranks by water
+//! filling: the ranks' times become as equal as possible, given the load of all other experts. A few
+//! passes over all experts come close to the split with the lowest maximum, because each pass
+//! decreases the sum of squares, which is minimal at that split.
 
 use grebedeck_core::Rank;
 
 use crate::map::{LayerMap, Replica};
 
-/// Passes that are enough in practice; the measure stops earlier when nothing moves any more.
+/// Number of passes that suffices in practice; balancing stops earlier if shares no longer change.
 pub const DEFAULT_PASSES: usize = 12;
 
-/// Levels the ranks' times by changing shares alone, and gives the resulting loads.
+/// Balances the ranks' times by changing shares alone, and returns the resulting load of each rank.
 ///
-/// `rank_costs` is each rank's time per unit of load; a slow rank has more than 1.
+/// `rank_costs` is each rank's time per unit of load; it is above 1 for a slow rank.
 pub fn balance(
     layer: &mut LayerMap,
     expert_loads: &[f32],
@@ -28,7 +28,7 @@
 
         for (replicas, load) in layer.experts.iter_mut().zip(expert_loads) {
             if replicas.len() > 1 && *load > 0.0 {
-                moved += pour(replicas, *load, &mut loads, rank_costs);
+                moved += distribute(replicas, *load, &mut loads, rank_costs);
             }
         }
 
@@ -42,8 +42,9 @@
     loads
 }
 
-/// Pours one expert's load over its ranks until they are level; gives how much load moved.
-fn pour(replicas: &mut [Replica], load: f32, loads: &mut [f32], costs: &[f32]) -> f32 {
+/// Distributes one expert's load over its ranks by water filling, and returns the sum of the changes
+/// of load over these ranks.
+fn distribute(replicas: &mut [Replica], load: f32, loads: &mut [f32], costs: &[f32]) -> f32 {
     for replica in replicas.iter() {
         loads[usize::from(replica.rank)] -= load * replica.share;
     }
@@ -54,50 +55,51 @@
 
     for replica in replicas.iter_mut() {
         let rank = usize::from(replica.rank);
-        let part = (level / costs[rank] - loads[rank]).max(0.0);
-        moved += (part - load * replica.share).abs();
-        replica.share = part / load;
+        let new_load = (level / costs[rank] - loads[rank]).max(0.0);
+        moved += (new_load - load * replica.share).abs();
+        replica.share = new_load / load;
         total += replica.share;
     }
 
-    let even = 1.0 / replicas.len() as f32;
+    let equal_share = 1.0 / replicas.len() as f32;
 
     for replica in replicas.iter_mut() {
-        // Rounding must not lose tokens, and a load too small to show is split evenly.
-        replica.share = if total > 0.0 { replica.share / total } else { even };
+        // Normalising prevents rounding from losing tokens. A load too small to change the ranks'
+        // loads is split evenly.
+        replica.share = if total > 0.0 { replica.share / total } else { equal_share };
         loads[usize::from(replica.rank)] += load * replica.share;
     }
 
     moved
 }
 
-/// Finds the time at which ranks that are below it take exactly `load` to reach it.
+/// Returns the water level: the time that all ranks below it reach if `load` is distributed over them.
 fn water_level(replicas: &[Replica], load: f32, loads: &[f32], costs: &[f32]) -> f32 {
     let time_of = |r: &Replica| loads[usize::from(r.rank)] * costs[usize::from(r.rank)];
-    let mut cut = f32::INFINITY;
+    let mut excluded_from = f32::INFINITY;
 
-    // Leave out the slowest rank until the level lies above all that are left. Each round leaves
-    // out at least one, so rounding cannot keep the loop going.
+    // Exclude the slowest rank until the level is above the times of all others. Each round
+    // excludes at least one rank, so the loop ends in spite of rounding.
     loop {
-        let (mut speed, mut filled, mut slowest, mut count) = (0.0, 0.0, 0.0_f32, 0);
+        let (mut speed, mut current_load, mut slowest, mut count) = (0.0, 0.0, 0.0_f32, 0);
 
-        for replica in replicas.iter().filter(|r| time_of(r) < cut) {
+        for replica in replicas.iter().filter(|r| time_of(r) < excluded_from) {
             speed += 1.0 / costs[usize::from(replica.rank)];
-            filled += loads[usize::from(replica.rank)];
+            current_load += loads[usize::from(replica.rank)];
             slowest = slowest.max(time_of(replica));
             count += 1;
         }
 
-        let level = (load + filled) / speed;
+        let level = (load + current_load) / speed;
 
         if slowest <= level || count <= 1 {
             return level.max(slowest);
         }
 
-        cut = slowest;
+        excluded_from = slowest;
 
-        // Ranks that are equally slow must not all be left out.
-        if !replicas.iter().any(|r| time_of(r) < cut) {
+        // Several equally slow ranks must not all be excluded.
+        if !replicas.iter().any(|r| time_of(r) < excluded_from) {
             return level.max(slowest);
         }
     }
