--- a/grebedeck-experts/src/switch.rs
+++ b/grebedeck-experts/src/switch.rs
@@ -1,22 +1,23 @@
-//! The switch of a group from one expert map to the next.
+//! Atomic commit protocol that switches all members of a group to the next expert map.
 //!
-//! # Rule
+//! # Commit rule
 //!
-//! A version is committed exactly if every member of the group has armed it. A member that has
-//! armed a version holds its ranks before the version's step until the outcome is known. A member
-//! that has not armed it may vow never to, and that vow aborts the version for good. So the outcome
-//! follows from the members' own states; the coordinator only carries messages, and two of them
-//! at once, or none, do no harm. Members that are left holding ask each other.
+//! A version is committed if and only if every member of the group has armed it. A member that has
+//! armed a version holds its ranks before the version's first step until the outcome is known. A
+//! member that has not armed it may refuse it. A refusal is final and aborts the version. The
+//! outcome therefore follows from the members' own states. The coordinator only distributes
+//! messages, so several coordinators at once, or none, do no harm. Members that hold without an
+//! outcome query each other.
 //!
-//! A group in lock-step cannot make a step without all of its ranks, so waiting for an answer from
-//! every member costs nothing that the step itself would not have cost.
+//! The ranks of a group run in lock-step, and no step can run without all of them. Waiting for an
+//! answer of every member therefore costs no more than the step itself would.
 //!
 //! # Replaced members
 //!
-//! A replaced member starts with no memory. It joins by asking all others, and each of them notes
-//! the new incarnation before it answers; from then on the old incarnation's word counts no more.
-//! If nobody had committed by then, nobody can: the joined member vows against whatever is still
-//! armed.
+//! A replacement starts without state. It joins by asking all other members for theirs, and each of
+//! them records the new incarnation before it answers and ignores the old one from then on. A
+//! version that is still armed but not committed at that time cannot be committed any more: the
+//! replacement counts as having refused it.
 
 pub mod coordinator;
 mod join;
--- a/grebedeck-experts/src/switch/coordinator.rs
+++ b/grebedeck-experts/src/switch/coordinator.rs
@@ -1,6 +1,7 @@
-//! The coordinator's side of the switch: it carries a proposal to all members.
+//! Coordinator of a switch: distributes a proposal to all members and collects their answers.
 //!
-//! Nothing that must hold depends on it. It may die, be paused or be doubled at any point.
+//! The safety of a switch does not depend on the coordinator. It may crash, be paused, or run more
+//! than once at any time.
 
 use std::time::Duration;
 
@@ -8,16 +9,16 @@
 
 use super::message::{Body, MapVersion, MemberNo, Message, Standing};
 
-/// Settings of a coordinator.
+/// Options of a coordinator.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct CoordinatorOptions {
-    /// How many steps ahead of the slowest answer the switch is armed.
+    /// Number of steps between the highest step that a member reported and the armed step.
     pub lead_steps: Step,
-    /// How long members may take to load weights before the proposal is given up.
+    /// Time for members to load weights, after which the proposal is aborted.
     pub prepare_timeout: Duration,
-    /// How long members may take to arm before the proposal is given up.
+    /// Time for members to arm, after which the proposal is aborted.
     pub arm_timeout: Duration,
-    /// How long to wait before an order is sent again.
+    /// Interval at which a message is sent again to members that have not answered.
     pub resend_interval: Duration,
 }
 
@@ -32,14 +33,14 @@
     }
 }
 
-/// What the shell has to do for a coordinator.
+/// Action that the caller has to perform for a coordinator.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum CoordinatorAction {
     /// Send a message.
     Send(Message),
-    /// The proposal is in use by all members.
+    /// Record that all members have committed the proposal.
     Committed(MapVersion),
-    /// The proposal was given up; a later one needs a new version.
+    /// Record that the proposal was aborted; its version is not used again.
     Aborted(MapVersion),
 }
 
@@ -50,26 +51,26 @@
     Arming { at_step: Step },
 }
 
-/// The state machine of one coordinator in one epoch.
+/// State machine of a coordinator in one epoch.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Coordinator {
     no: MemberNo,
     incarnation: Incarnation,
     epoch: Epoch,
     options: CoordinatorOptions,
-    number: u32,
+    proposal_count: u32,
     phase: Phase,
     version: MapVersion,
     base: MapVersion,
     roster: Vec<Incarnation>,
     answered: Vec<bool>,
-    step_max: Step,
-    give_up_at: Moment,
+    max_step: Step,
+    deadline: Moment,
     resend_at: Moment,
 }
 
 impl Coordinator {
-    /// Makes a coordinator that speaks as the member `no` in the given epoch.
+    /// Creates a coordinator that sends as member `no` in the given epoch.
     pub fn new(
         no: MemberNo,
         incarnation: Incarnation,
@@ -81,55 +82,59 @@
             incarnation,
             epoch,
             options,
-            number: 0,
+            proposal_count: 0,
             phase: Phase::Idle,
             version: MapVersion::default(),
             base: MapVersion::default(),
             roster: Vec::new(),
             answered: Vec::new(),
-            step_max: 0,
-            give_up_at: Moment::ZERO,
+            max_step: 0,
+            deadline: Moment::ZERO,
             resend_at: Moment::ZERO,
         }
     }
 
-    /// Tells whether a new proposal may be made.
+    /// Returns whether a new proposal may be made.
     pub fn is_idle(&self) -> bool {
         self.phase == Phase::Idle
     }
 
-    /// Gets the epoch that the coordinator speaks in.
+    /// Returns the coordinator's epoch.
     pub fn epoch(&self) -> Epoch {
         self.epoch
     }
 
-    /// Gets the version that the next proposal will have.
+    /// Returns the version of the next proposal.
     pub fn next_version(&self) -> MapVersion {
-        MapVersion { epoch: self.epoch, proposer: self.no, number: self.number + 1 }
+        MapVersion { epoch: self.epoch, proposer: self.no, number: self.proposal_count + 1 }
     }
 
-    /// Proposes the next version on top of `base` to the members of the roster.
+    /// Proposes the next version, based on `base`, to the members of the roster.
+    ///
+    /// # Panics
+    ///
+    /// Panics if another proposal is in progress.
     pub fn propose(
         &mut self,
         base: MapVersion,
         roster: Vec<Incarnation>,
         now: Moment,
     ) -> Vec<CoordinatorAction> {
-        assert!(self.is_idle(), "one proposal at a time");
+        assert!(self.is_idle(), "another proposal is in progress");
 
         self.version = self.next_version();
-        self.number += 1;
+        self.proposal_count += 1;
         self.base = base;
         self.answered = vec![false; roster.len()];
         self.roster = roster;
-        self.step_max = 0;
+        self.max_step = 0;
         self.phase = Phase::Preparing;
-        self.give_up_at = now + self.options.prepare_timeout;
+        self.deadline = now + self.options.prepare_timeout;
 
-        self.send_to_waiting(now)
+        self.send_to_unanswered(now)
     }
 
-    /// Goes on with an answer of a member.
+    /// Handles a member's answer. Answers of other incarnations than those of the roster are ignored.
     pub fn receive(&mut self, message: &Message, now: Moment) -> Vec<CoordinatorAction> {
         let from = usize::from(message.from);
 
@@ -140,13 +145,13 @@
         match (&message.body, &self.phase) {
             (Body::Prepared { version, step }, Phase::Preparing) if *version == self.version => {
                 self.answered[from] = true;
-                self.step_max = self.step_max.max(*step);
+                self.max_step = self.max_step.max(*step);
                 self.arm_if_all_prepared(now)
             }
             (Body::Report { version, standing, .. }, phase) if *version == self.version => {
                 match (standing, phase) {
                     (_, Phase::Idle) => Vec::new(),
-                    (Standing::Refused, _) => self.give_up(),
+                    (Standing::Refused, _) => self.abort(),
                     (_, Phase::Preparing) => Vec::new(),
                     (_, Phase::Arming { .. }) => {
                         self.answered[from] = true;
@@ -158,18 +163,18 @@
         }
     }
 
-    /// Goes on as time passes.
+    /// Sends messages again or aborts the proposal when the time has come.
     pub fn tick(&mut self, now: Moment) -> Vec<CoordinatorAction> {
         if self.is_idle() {
             return Vec::new();
         }
 
-        if now >= self.give_up_at {
-            // Armed members settle it among themselves, whichever way it went.
-            return self.give_up();
+        if now >= self.deadline {
+            // Armed members find out the outcome among themselves; it may still be a commit.
+            return self.abort();
         }
 
-        if now >= self.resend_at { self.send_to_waiting(now) } else { Vec::new() }
+        if now >= self.resend_at { self.send_to_unanswered(now) } else { Vec::new() }
     }
 
     fn arm_if_all_prepared(&mut self, now: Moment) -> Vec<CoordinatorAction> {
@@ -177,12 +182,12 @@
             return Vec::new();
         }
 
-        let at_step = self.step_max + self.options.lead_steps;
+        let at_step = self.max_step + self.options.lead_steps;
         self.phase = Phase::Arming { at_step };
         self.answered.fill(false);
-        self.give_up_at = now + self.options.arm_timeout;
+        self.deadline = now + self.options.arm_timeout;
 
-        self.send_to_waiting(now)
+        self.send_to_unanswered(now)
     }
 
     fn commit_if_all_armed(&mut self) -> Vec<CoordinatorAction> {
@@ -192,24 +197,24 @@
 
         self.phase = Phase::Idle;
         let body = Body::Commit { version: self.version, roster: self.roster.clone() };
-        let mut orders: Vec<_> = self.members().map(|to| self.send(to, body.clone())).collect();
-        orders.push(CoordinatorAction::Committed(self.version));
+        let mut actions: Vec<_> = self.members().map(|to| self.send(to, body.clone())).collect();
+        actions.push(CoordinatorAction::Committed(self.version));
 
-        orders
+        actions
     }
 
-    fn give_up(&mut self) -> Vec<CoordinatorAction> {
+    fn abort(&mut self) -> Vec<CoordinatorAction> {
         self.phase = Phase::Idle;
-        // Asking makes members that have not armed vow against it, and armed ones learn of that
-        // when they ask in turn.
+        // A query makes members that have not armed the version refuse it, and armed members learn of
+        // that from their own queries.
         let body = Body::Query { version: self.version };
-        let mut orders: Vec<_> = self.members().map(|to| self.send(to, body.clone())).collect();
-        orders.push(CoordinatorAction::Aborted(self.version));
+        let mut actions: Vec<_> = self.members().map(|to| self.send(to, body.clone())).collect();
+        actions.push(CoordinatorAction::Aborted(self.version));
 
-        orders
+        actions
     }
 
-    fn send_to_waiting(&mut self, now: Moment) -> Vec<CoordinatorAction> {
+    fn send_to_unanswered(&mut self, now: Moment) -> Vec<CoordinatorAction> {
         self.resend_at = now + self.options.resend_interval;
 
         let body = match self.phase {
@@ -223,8 +228,8 @@
             },
         };
 
-        let waiting = self.members().filter(|no| !self.answered[usize::from(*no)]);
-        waiting.map(|to| self.send(to, body.clone())).collect()
+        let unanswered = self.members().filter(|no| !self.answered[usize::from(*no)]);
+        unanswered.map(|to| self.send(to, body.clone())).collect()
     }
 
     fn members(&self) -> impl Iterator<Item = MemberNo> + use<> {
--- a/grebedeck-experts/src/switch/join.rs
+++ b/grebedeck-experts/src/switch/join.rs
@@ -1,59 +1,59 @@
-//! What a replaced member gathers from the others before it takes part.
+//! State that a replacement collects from the other members before it takes part.
 
 use grebedeck_core::{Incarnation, Moment};
 
 use super::message::{GroupView, MemberNo};
 
-/// The answers that a joining member has so far.
+/// Answers that a joining member has received.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Joining {
-    /// What each other member knew when it answered.
+    /// Answer of each member.
     acks: Vec<Option<GroupView>>,
-    ask_at: Moment,
+    query_at: Moment,
 }
 
 impl Joining {
-    /// Starts without any answer.
+    /// Creates the state without answers; the first query is due at `now`.
     pub(super) fn new(size: usize, now: Moment) -> Self {
-        Joining { acks: vec![None; size], ask_at: now }
+        Joining { acks: vec![None; size], query_at: now }
     }
 
-    /// Tells whether it is time to ask, and if so when to ask again.
-    pub(super) fn is_due(&mut self, now: Moment, again: Moment) -> bool {
-        let due = now >= self.ask_at;
+    /// Returns whether a query is due; if so, the next one is due at `again`.
+    pub(super) fn is_due(&mut self, now: Moment, next_query_at: Moment) -> bool {
+        let due = now >= self.query_at;
 
         if due {
-            self.ask_at = again;
+            self.query_at = next_query_at;
         }
 
         due
     }
 
-    /// Takes in a member's answer.
-    pub(super) fn take(&mut self, from: MemberNo, known: &GroupView) {
+    /// Records a member's answer.
+    pub(super) fn record(&mut self, from: MemberNo, known: &GroupView) {
         self.acks[usize::from(from)] = Some(known.clone());
     }
 
-    /// Forgets the answer of a member that has been replaced.
-    pub(super) fn forget(&mut self, from: MemberNo) {
+    /// Discards the answer of a member that has been replaced.
+    pub(super) fn remove(&mut self, from: MemberNo) {
         self.acks[usize::from(from)] = None;
     }
 
-    /// Gets the members whose answer is still needed.
+    /// Returns the members whose answer is still missing.
     ///
-    /// An answer counts only if its sender knows of the same replacements: a sender that does not
-    /// could still be told by a replaced process that a version was committed.
+    /// An answer counts only if its sender knows the same incarnations. Otherwise a replaced process
+    /// could still tell the sender that a version was committed.
     pub(super) fn missing(&self, own: MemberNo, roster: &[Incarnation]) -> Vec<MemberNo> {
-        let counts = |no: &MemberNo| {
+        let is_valid = |no: &MemberNo| {
             let ack = self.acks[usize::from(*no)].as_ref();
 
             ack.is_some_and(|a| a.roster == roster)
         };
 
-        (0..self.acks.len() as MemberNo).filter(|no| *no != own && !counts(no)).collect()
+        (0..self.acks.len() as MemberNo).filter(|no| *no != own && !is_valid(no)).collect()
     }
 
-    /// Adds what the others knew to what the member knows itself.
+    /// Merges the answers into the member's own state.
     pub(super) fn merge_into(self, known: &mut GroupView) {
         for ack in self.acks.into_iter().flatten() {
             if ack.current > known.current {
--- a/grebedeck-experts/src/switch/member.rs
+++ b/grebedeck-experts/src/switch/member.rs
@@ -1,4 +1,4 @@
-//! A member's side of the switch: the agent beside one engine, with that engine's ranks.
+//! Member of a switch: the agent of one engine, which acts for that engine's ranks.
 
 use std::time::Duration;
 
@@ -7,12 +7,12 @@
 use super::join::Joining;
 use super::message::{Body, GroupView, MapVersion, MemberNo, Message, Standing};
 
-/// Settings of a member.
+/// Options of a member.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct MemberOptions {
-    /// How long an armed member waits for the coordinator before it asks the others.
+    /// Time that an armed member waits for the coordinator before it queries the other members.
     pub query_delay: Duration,
-    /// How long it waits before it asks again.
+    /// Interval at which queries and join requests are repeated.
     pub retry_interval: Duration,
 }
 
@@ -25,7 +25,7 @@
     }
 }
 
-/// What the shell has to do for a member.
+/// Action that the caller has to perform for a member.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum MemberAction {
     /// Send a message.
@@ -42,53 +42,55 @@
         /// The first step that must not begin.
         at_step: Step,
     },
-    /// Use the version from its step on, and hold no more.
+    /// Switch to the version at its first step and release the hold.
     Use {
         /// The committed version.
         version: MapVersion,
-        /// The first step with it.
+        /// The first step that uses the version.
         at_step: Step,
     },
-    /// Stay with the map in use, and hold no more.
+    /// Keep the current map and release the hold.
     KeepCurrent {
-        /// The version that was given up.
+        /// The aborted version.
         aborted: MapVersion,
     },
 }
 
+/// A version that is held before its first step until the outcome is known.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Armed {
     version: MapVersion,
     at_step: Step,
     roster: Vec<Incarnation>,
     armed_by: Vec<bool>,
-    ask_at: Moment,
+    query_at: Moment,
 }
 
+/// A hold that the engine has not confirmed yet.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Holding {
-    asked_by: MemberNo,
+    requester: MemberNo,
     version: MapVersion,
     at_step: Step,
     roster: Vec<Incarnation>,
 }
 
-/// A member's state, for a dump.
+/// State of a member for the diagnostic dump.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize)]
 pub struct MemberStatus {
-    /// The map in use.
+    /// The newest committed map.
     pub current: MapVersion,
-    /// The version that is armed, if any.
+    /// The armed version, if any.
     pub armed: Option<MapVersion>,
-    /// Whether the member still asks the others for their state.
+    /// Whether the member is still collecting the other members' state.
     pub joining: bool,
     /// Known incarnation of each member.
     pub roster: Vec<Incarnation>,
-    /// The highest fencing token seen.
+    /// Highest epoch seen.
     pub seen_epoch: Epoch,
 }
 
-/// The state machine of one member.
+/// State machine of a member.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Member {
     no: MemberNo,
@@ -97,14 +99,13 @@
     known: GroupView,
     prepared: Option<MapVersion>,
     loading: Option<MapVersion>,
-    /// A version whose hold the engine has not confirmed yet.
     holding: Option<Holding>,
     armed: Option<Armed>,
     joining: Option<Joining>,
 }
 
 impl Member {
-    /// Makes a member of a group that starts for the first time, with everybody at `current`.
+    /// Creates a member of a new group in which all members use `current`.
     pub fn new(
         no: MemberNo,
         roster: Vec<Incarnation>,
@@ -131,7 +132,7 @@
         }
     }
 
-    /// Makes a member that replaces an earlier incarnation and knows nothing yet.
+    /// Creates a member that replaces an earlier incarnation and has no state yet.
     pub fn replacing(
         no: MemberNo,
         size: usize,
@@ -148,7 +149,7 @@
         member
     }
 
-    /// Gets the state for a dump.
+    /// Returns the state for the diagnostic dump.
     pub fn status(&self) -> MemberStatus {
         MemberStatus {
             current: self.known.current,
@@ -159,34 +160,34 @@
         }
     }
 
-    /// Gets the newest map of the group.
+    /// Returns the newest committed map.
     pub fn current(&self) -> MapVersion {
         self.known.current
     }
 
-    /// Gets the first step that uses the newest map, and the map that is used before it.
+    /// Returns the first step that uses the newest map, and the map used before that step.
     pub fn before_current(&self) -> (Step, MapVersion) {
         (self.known.current_from, self.known.previous)
     }
 
-    /// Gets the incarnation known of each member; 0 where none is.
+    /// Returns the known incarnation of each member; 0 if none is known.
     pub fn roster(&self) -> &[Incarnation] {
         &self.known.roster
     }
 
-    /// Tells whether a successor has taken this member's place; it then takes no part any more.
+    /// Returns whether this member has been replaced; it then ignores all input.
     pub fn is_replaced(&self) -> bool {
         self.known.roster[usize::from(self.no)] > self.incarnation
     }
 
-    /// Tells whether the member may take part in a new switch.
+    /// Returns whether the member can take part in a new switch.
     pub fn is_idle(&self) -> bool {
         let busy = self.armed.is_some() || self.holding.is_some() || self.joining.is_some();
 
         !busy && !self.is_replaced()
     }
 
-    /// Goes on after the weights of a version were loaded; `step` is the engine's next one.
+    /// Handles the end of loading a version; `step` is the engine's next step.
     pub fn loaded(&mut self, version: MapVersion, step: Step) -> Vec<MemberAction> {
         if self.loading != Some(version) {
             return Vec::new();
@@ -197,24 +198,29 @@
         vec![self.send(version.proposer, Body::Prepared { version, step })]
     }
 
-    /// Goes on as time passes. Call it at least as often as the options' times.
+    /// Sends queries and join requests that are due. Must be called at least as often as the
+    /// intervals in the options require.
     pub fn tick(&mut self, now: Moment) -> Vec<MemberAction> {
         if self.is_replaced() {
             return Vec::new();
         }
 
-        let again = now + self.options.retry_interval;
+        let next_query_at = now + self.options.retry_interval;
 
         if let Some(joining) = &mut self.joining {
-            return if joining.is_due(now, again) { self.ask_to_join() } else { Vec::new() };
+            return if joining.is_due(now, next_query_at) {
+                self.send_join_requests()
+            } else {
+                Vec::new()
+            };
         }
 
         if let Some(armed) = &mut self.armed {
-            if now < armed.ask_at {
+            if now < armed.query_at {
                 return Vec::new();
             }
 
-            armed.ask_at = again;
+            armed.query_at = next_query_at;
             let version = armed.version;
             return self.others().map(|to| self.send(to, Body::Query { version })).collect();
         }
@@ -222,19 +228,19 @@
         Vec::new()
     }
 
-    /// Goes on with a message; `step` is the engine's next step, which has not begun.
+    /// Handles a message; `step` is the engine's next step, which has not begun.
     pub fn receive(&mut self, message: &Message, step: Step) -> Vec<MemberAction> {
         if message.to != self.no || usize::from(message.from) >= self.known.roster.len() {
             return Vec::new();
         }
 
-        if !self.note_incarnation(message.from, message.incarnation) || self.is_replaced() {
+        if !self.record_incarnation(message.from, message.incarnation) || self.is_replaced() {
             return Vec::new();
         }
 
-        // A member that does not know the group's state yet must not vow or arm anything.
+        // A member without the group's state must neither refuse nor arm a version.
         if self.joining.is_some() {
-            return self.receive_joining(message);
+            return self.receive_while_joining(message);
         }
 
         match &message.body {
@@ -246,26 +252,26 @@
             Body::Query { version } => self.answer_query(message.from, *version),
             Body::Report { version, standing, seen_epoch } => {
                 self.known.seen_epoch = self.known.seen_epoch.max(*seen_epoch);
-                self.take_report(message.from, *version, *standing)
+                self.handle_report(message.from, *version, *standing)
             }
             Body::Join { roster } => {
-                self.note_roster(roster);
+                self.record_roster(roster);
                 vec![self.acknowledge_join(message)]
             }
             Body::Prepared { .. } | Body::JoinAck { .. } => Vec::new(),
         }
     }
 
-    /// Notes a newer incarnation of a member; tells whether the sender is the newest known.
-    fn note_incarnation(&mut self, from: MemberNo, incarnation: Incarnation) -> bool {
+    /// Records a newer incarnation of a member, and returns whether `incarnation` is the newest known.
+    fn record_incarnation(&mut self, from: MemberNo, incarnation: Incarnation) -> bool {
         let known = &mut self.known.roster[usize::from(from)];
 
         if incarnation > *known {
             *known = incarnation;
 
-            // What the earlier incarnation had said no longer stands.
+            // The answers of the earlier incarnation are no longer valid.
             if let Some(joining) = &mut self.joining {
-                joining.forget(from);
+                joining.remove(from);
             }
 
             if let Some(armed) = &mut self.armed {
@@ -283,11 +289,11 @@
         base: MapVersion,
         step: Step,
     ) -> Vec<MemberAction> {
-        let fenced = version.epoch < self.known.seen_epoch;
+        let is_stale = version.epoch < self.known.seen_epoch;
         self.known.seen_epoch = self.known.seen_epoch.max(version.epoch);
 
-        if fenced || version <= self.known.settled || base != self.known.current {
-            // Only a vow may be reported as a refusal.
+        if is_stale || version <= self.known.settled || base != self.known.current {
+            // `answer_query` records the refusal, as it must before a refusal is reported.
             return self.answer_query(from, version);
         }
 
@@ -312,20 +318,20 @@
         roster: &[Incarnation],
         step: Step,
     ) -> Vec<MemberAction> {
-        // A doubled order must not disturb a hold that the engine is about to confirm.
+        // A duplicate `Arm` must not cancel a hold that the engine is about to confirm.
         if self.holding.as_ref().is_some_and(|h| h.version == version) {
             return Vec::new();
         }
 
-        let fenced = version.epoch < self.known.seen_epoch;
-        let may_arm = !fenced
+        let is_stale = version.epoch < self.known.seen_epoch;
+        let may_arm = !is_stale
             && version > self.known.settled
             && self.armed.is_none()
             && self.holding.is_none()
             && base == self.known.current
             && self.prepared == Some(version)
             && roster == self.known.roster
-            // An engine keeps one map that is to come, so the last one must be in use first.
+            // An engine stores only one upcoming map, so the previous switch must have happened.
             && (step > self.known.current_from || self.known.current_from == 0);
         self.known.seen_epoch = self.known.seen_epoch.max(version.epoch);
 
@@ -333,19 +339,19 @@
             return self.answer_query(from, version);
         }
 
-        self.holding = Some(Holding { asked_by: from, version, at_step, roster: roster.to_vec() });
+        self.holding = Some(Holding { requester: from, version, at_step, roster: roster.to_vec() });
         vec![MemberAction::HoldAt { version, at_step }]
     }
 
-    /// Goes on after the engine answered a hold; `done` says that `at_step` had not begun and will
-    /// not begin until it is told.
+    /// Handles the engine's answer to a hold. `done` means that `at_step` has not begun and will not
+    /// begin until the hold is released.
     pub fn held(&mut self, version: MapVersion, done: bool, now: Moment) -> Vec<MemberAction> {
         if self.is_replaced() {
             return Vec::new();
         }
 
         let Some(holding) = self.holding.take_if(|h| h.version == version) else {
-            // It was given up meanwhile, and the engine must not be left holding for it.
+            // The version was refused in the meantime, so the engine must be released.
             let idle = done && self.armed.is_none() && self.holding.is_none();
             return if idle {
                 vec![MemberAction::KeepCurrent { aborted: version }]
@@ -355,24 +361,24 @@
         };
 
         if !done || holding.roster != self.known.roster || version <= self.known.settled {
-            let mut orders = self.answer_query(holding.asked_by, version);
+            let mut actions = self.answer_query(holding.requester, version);
 
             if done {
-                orders.push(MemberAction::KeepCurrent { aborted: version });
+                actions.push(MemberAction::KeepCurrent { aborted: version });
             }
 
-            return orders;
+            return actions;
         }
 
         let mut armed_by = vec![false; self.known.roster.len()];
         armed_by[usize::from(self.no)] = true;
-        let ask_at = now + self.options.query_delay;
-        let Holding { asked_by, at_step, roster, .. } = holding;
-        self.armed = Some(Armed { version, at_step, roster, armed_by, ask_at });
+        let query_at = now + self.options.query_delay;
+        let Holding { requester, at_step, roster, .. } = holding;
+        self.armed = Some(Armed { version, at_step, roster, armed_by, query_at });
 
-        let mut orders = vec![self.report(asked_by, version, Standing::Armed)];
-        orders.extend(self.commit_if_all_armed());
-        orders
+        let mut actions = vec![self.report(requester, version, Standing::Armed)];
+        actions.extend(self.commit_if_all_armed());
+        actions
     }
 
     fn commit_by_roster(
@@ -380,7 +386,7 @@
         version: MapVersion,
         roster: &[Incarnation],
     ) -> Vec<MemberAction> {
-        // After a member was replaced, the word of the old roster no longer counts.
+        // After a member has been replaced, a commit by the old roster is no longer valid.
         if roster != self.known.roster {
             return Vec::new();
         }
@@ -390,14 +396,15 @@
             _ => {
                 assert!(
                     self.known.current >= version,
-                    "map {version:?} was committed by a roster of which this member refused it"
+                    "map {version:?} was committed, but this member has not armed it"
                 );
                 Vec::new()
             }
         }
     }
 
-    /// Answers how this member stands; where it has not armed the version, it vows never to.
+    /// Reports the state of a version; a version that is neither armed nor the current map is refused
+    /// for good.
     fn answer_query(&mut self, from: MemberNo, version: MapVersion) -> Vec<MemberAction> {
         let armed = self.armed.as_ref().is_some_and(|a| a.version == version);
 
@@ -406,7 +413,7 @@
         } else if version == self.known.current {
             Standing::Committed
         } else {
-            // A hold that the engine has not confirmed yet is given up with this.
+            // The refusal also cancels a hold that the engine has not confirmed yet.
             self.holding.take_if(|h| h.version == version);
             self.known.settled = self.known.settled.max(version);
             Standing::Refused
@@ -415,7 +422,7 @@
         vec![self.report(from, version, standing)]
     }
 
-    fn take_report(
+    fn handle_report(
         &mut self,
         from: MemberNo,
         version: MapVersion,
@@ -427,7 +434,7 @@
 
         match standing {
             Standing::Committed => self.commit(),
-            Standing::Refused => self.give_up(),
+            Standing::Refused => self.abort(),
             Standing::Armed => {
                 armed.armed_by[usize::from(from)] = true;
                 self.commit_if_all_armed()
@@ -437,12 +444,12 @@
 
     fn commit_if_all_armed(&mut self) -> Vec<MemberAction> {
         let roster = &self.known.roster;
-        let all = self
+        let is_armed_by_all = self
             .armed
             .as_ref()
             .is_some_and(|a| a.armed_by.iter().all(|by| *by) && a.roster == *roster);
 
-        if all { self.commit() } else { Vec::new() }
+        if is_armed_by_all { self.commit() } else { Vec::new() }
     }
 
     fn commit(&mut self) -> Vec<MemberAction> {
@@ -450,7 +457,10 @@
             return Vec::new();
         };
 
-        assert!(armed.version > self.known.current, "a map never goes back");
+        assert!(
+            armed.version > self.known.current,
+            "a committed map must be newer than the current one"
+        );
         self.known.previous = self.known.current;
         self.known.current = armed.version;
         self.known.current_from = armed.at_step;
@@ -460,7 +470,7 @@
         vec![MemberAction::Use { version: armed.version, at_step: armed.at_step }]
     }
 
-    fn give_up(&mut self) -> Vec<MemberAction> {
+    fn abort(&mut self) -> Vec<MemberAction> {
         let Some(armed) = self.armed.take() else {
             return Vec::new();
         };
@@ -471,15 +481,15 @@
         vec![MemberAction::KeepCurrent { aborted: armed.version }]
     }
 
-    fn receive_joining(&mut self, message: &Message) -> Vec<MemberAction> {
+    fn receive_while_joining(&mut self, message: &Message) -> Vec<MemberAction> {
         match &message.body {
             Body::Join { roster } => {
-                self.note_roster(roster);
+                self.record_roster(roster);
                 vec![self.acknowledge_join(message)]
             }
             Body::JoinAck { joined, known } => {
                 if *joined == self.incarnation {
-                    self.take_join_ack(message.from, known);
+                    self.handle_join_ack(message.from, known);
                 }
 
                 Vec::new()
@@ -488,11 +498,11 @@
         }
     }
 
-    fn take_join_ack(&mut self, from: MemberNo, known: &GroupView) {
-        self.note_roster(&known.roster);
+    fn handle_join_ack(&mut self, from: MemberNo, known: &GroupView) {
+        self.record_roster(&known.roster);
 
         if let Some(joining) = &mut self.joining {
-            joining.take(from, known);
+            joining.record(from, known);
         }
 
         if self.missing_acks().is_empty() {
@@ -500,18 +510,18 @@
         }
     }
 
-    /// Notes replacements that another member knows of. What their predecessors say, unaware of
-    /// being replaced, must not count.
-    fn note_roster(&mut self, roster: &[Incarnation]) {
+    /// Records the replacements known to another member. Messages of the replaced processes, which
+    /// may not know that they were replaced, must be ignored.
+    fn record_roster(&mut self, roster: &[Incarnation]) {
         for (no, incarnation) in roster.iter().enumerate().take(self.known.roster.len()) {
-            self.note_incarnation(no as MemberNo, *incarnation);
+            self.record_incarnation(no as MemberNo, *incarnation);
         }
     }
 
-    fn ask_to_join(&mut self) -> Vec<MemberAction> {
+    fn send_join_requests(&mut self) -> Vec<MemberAction> {
         let missing = self.missing_acks();
 
-        // A group of one has nobody to ask.
+        // In a group of one there is no other member to ask.
         if missing.is_empty() {
             self.finish_join();
         }
@@ -535,7 +545,7 @@
     fn acknowledge_join(&self, message: &Message) -> MemberAction {
         let armed = self.armed.as_ref().map_or(self.known.settled, |a| a.version);
         let mut known = self.known.clone();
-        // Nobody had committed it by now, so the joining member vows against it.
+        // An armed version is not committed yet, so the joining member refuses it.
         known.settled = known.settled.max(armed);
 
         self.send(message.from, Body::JoinAck { joined: message.incarnation, known })
--- a/grebedeck-experts/src/switch/message.rs
+++ b/grebedeck-experts/src/switch/message.rs
@@ -3,51 +3,51 @@
 use grebedeck_core::{Epoch, Incarnation, Step};
 use serde::{Deserialize, Serialize};
 
-/// Index of a member (one agent with its ranks) within its group.
+/// Index of a member (an agent with its ranks) within its group.
 pub type MemberNo = u16;
 
-/// Names one map of a group for good. A version that was given up is never used again.
+/// Unique identifier of a map of a group. The version of an aborted map is never used again.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
 pub struct MapVersion {
-    /// Fencing token of the coordinator that proposed it.
+    /// Epoch of the proposing coordinator, used as a fencing token.
     pub epoch: Epoch,
-    /// The member that proposed it, so that two coordinators never share a version.
+    /// Member of the proposing coordinator, so that two coordinators never use the same version.
     pub proposer: MemberNo,
-    /// Count of the coordinator's proposals.
+    /// Number of the proposal, counted by the coordinator.
     pub number: u32,
 }
 
-/// What a member knows of a version.
+/// State of a version at a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Standing {
-    /// It holds at the version's step and waits for the outcome.
+    /// The member holds before the version's first step and waits for the outcome.
     Armed,
-    /// It uses the version, or has used it.
+    /// The member has committed the version.
     Committed,
-    /// It will never arm the version.
+    /// The member will never arm the version.
     Refused,
 }
 
-/// What a message says.
+/// Content of a message.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Body {
-    /// Load the weights that the version needs; `moves` are the receiver's own.
+    /// Asks the receiver to load the weights that the version needs.
     Prepare {
         /// The proposed version.
         version: MapVersion,
         /// The version that it builds on.
         base: MapVersion,
     },
-    /// The weights are loaded; the sender's ranks are about to make `step`.
+    /// Answers `Prepare`: the weights are loaded.
     Prepared {
         /// The prepared version.
         version: MapVersion,
         /// The sender's next step.
         step: Step,
     },
-    /// Hold before `at_step` until the outcome is known.
+    /// Asks the receiver to hold before `at_step` until the outcome is known.
     Arm {
         /// The version to arm.
         version: MapVersion,
@@ -55,63 +55,62 @@
         base: MapVersion,
         /// First step that uses the version.
         at_step: Step,
-        /// Incarnation of each member that the outcome depends on.
+        /// Incarnation of each member whose answer is required.
         roster: Vec<Incarnation>,
     },
-    /// Every member of the roster has armed the version.
+    /// Tells that every member of the roster has armed the version.
     Commit {
         /// The committed version.
         version: MapVersion,
         /// The roster that armed it.
         roster: Vec<Incarnation>,
     },
-    /// Asks how the receiver stands; a receiver that has not armed the version vows never to.
+    /// Asks for the state of a version; a receiver that has not armed it refuses it for good.
     Query {
         /// The version asked about.
         version: MapVersion,
     },
-    /// Answers `Arm` and `Query`.
+    /// Answers `Arm` and `Query`, and a `Prepare` that the sender does not follow.
     Report {
         /// The version asked about.
         version: MapVersion,
-        /// How the sender stands.
+        /// State of the version at the sender.
         standing: Standing,
-        /// The highest fencing token that the sender has seen, so that a stale coordinator learns
-        /// of it.
+        /// Highest epoch that the sender has seen, by which a stale coordinator learns of it.
         seen_epoch: Epoch,
     },
-    /// A replaced member asks for the group's state.
+    /// Asks for the group's state on behalf of a replacement.
     Join {
         /// Known incarnation of each member; 0 where none is.
         roster: Vec<Incarnation>,
     },
     /// Answers `Join`.
     JoinAck {
-        /// The incarnation that was noted.
+        /// Incarnation of the replacement that the sender has recorded.
         joined: Incarnation,
-        /// What the sender knows of the group.
+        /// The sender's view of the group.
         known: GroupView,
     },
 }
 
-/// What a member knows of its group.
+/// A member's view of its group.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct GroupView {
     /// Known incarnation of each member; 0 where none is.
     pub roster: Vec<Incarnation>,
-    /// The newest map.
+    /// The newest committed map.
     pub current: MapVersion,
-    /// First step that uses the newest map; it may lie ahead.
+    /// First step that uses the newest map; may be in the future.
     pub current_from: Step,
-    /// The map that is used before that step.
+    /// The map used before that step.
     pub previous: MapVersion,
-    /// No version up to this one will be armed any more.
+    /// Highest version whose outcome is decided; versions up to it are not armed any more.
     pub settled: MapVersion,
-    /// The highest fencing token seen.
+    /// Highest epoch seen.
     pub seen_epoch: Epoch,
 }
 
-/// A message from one member to another; the coordinator speaks as the member beside it.
+/// Message between members; a coordinator sends as the member of its process.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Message {
     /// The sender.
@@ -120,6 +119,6 @@
     pub incarnation: Incarnation,
     /// The receiver.
     pub to: MemberNo,
-    /// What it says.
+    /// Content.
     pub body: Body,
 }
