--- a/grebedeck-experts/src/assign.rs
+++ b/grebedeck-experts/src/assign.rs
@@ -33,8 +33,8 @@
 /// Largest group in which a copy has to gain the whole of [`AssignOptions::min_gain_per_copy`].
 ///
 /// In a larger group more ranks are above the mean, one copy relieves only one of them, and all
-/// ranks copy at the same time. With 192 ranks and the unscaled minimum, the search ends at a skew of
-/// 2.19 after 70 copies, although 449 copies reach 1.40.
+/// ranks copy at the same time. With 192 ranks and the unscaled minimum, the search ends at a skew
+/// of 2.19 after 70 copies, although 449 copies reach 1.40.
 const FULL_GAIN_RANKS: f32 = 16.0;
 /// Maximum number of ranks, the least loaded ones, considered as partners of the busiest rank.
 ///
@@ -156,8 +156,8 @@
         self.times[usize::from(self.busiest())] / self.mean
     }
 
-    /// Applies the best step, or marks the set as done. `copied` is the number of copies of each rank
-    /// over all sets, and is updated.
+    /// Applies the best step, or marks the set as done. `copied` is the number of copies of each
+    /// rank over all sets, and is updated.
     fn advance(&mut self, copied: &mut [usize]) {
         if self.skew() <= self.options.target_skew {
             self.is_done = true;
--- a/grebedeck-experts/src/balancer.rs
+++ b/grebedeck-experts/src/balancer.rs
@@ -1,8 +1,8 @@
 //! Decides when a group's placement is changed, and to which one.
 //!
-//! The ranks report the tokens that their engines routed to each expert. The leader sums the reports
-//! and estimates the experts' popularity from them. It searches for a better placement when the
-//! busiest rank exceeds the trigger and the previous change is long enough ago.
+//! The ranks report the tokens that their engines routed to each expert. The leader sums the
+//! reports and estimates the experts' popularity from them. It searches for a better placement when
+//! the busiest rank exceeds the trigger and the previous change is long enough ago.
 
 use std::time::Duration;
 
--- a/grebedeck-experts/src/plan.rs
+++ b/grebedeck-experts/src/plan.rs
@@ -1,11 +1,11 @@
 //! Decides on the next expert map of a group and whether it is worth its cost.
 //!
-//! The planner balances the shares of replicas first, since that loads no weights. While the slowest
-//! rank of a layer remains above the ideal time, it considers loading one more replica: one of the
-//! heaviest experts of the slowest rank, on one of the least loaded ranks, where it evicts the replica
-//! with the lowest load if no slot is free. A move is accepted if the time that it saves, over the
-//! period for which popularity is expected to last and weighted by the options, exceeds the cost of
-//! loading.
+//! The planner balances the shares of replicas first, since that loads no weights. While the
+//! slowest rank of a layer remains above the ideal time, it considers loading one more replica: one
+//! of the heaviest experts of the slowest rank, on one of the least loaded ranks, where it evicts
+//! the replica with the lowest load if no slot is free. A move is accepted if the time that it
+//! saves, over the period for which popularity is expected to last and weighted by the options,
+//! exceeds the cost of loading.
 
 use grebedeck_core::{Expert, Layer, Moment, Rank};
 
@@ -67,8 +67,8 @@
     pub layer_work_ms: f32,
     /// Time per token of each rank, relative to a rank of normal speed.
     pub rank_costs: &'a [f32],
-    /// Maximum number of experts whose replicas or shares may change; each changed expert is sent to
-    /// every member.
+    /// Maximum number of experts whose replicas or shares may change; each changed expert is sent
+    /// to every member.
     pub max_changed_experts: usize,
 }
 
@@ -185,8 +185,8 @@
         })
     }
 
-    /// Keeps the moves of the layers that gain most by moves, up to the maximum; the other layers are
-    /// planned again with changes of shares alone.
+    /// Keeps the moves of the layers that gain most by moves, up to the maximum; the other layers
+    /// are planned again with changes of shares alone.
     fn limit_moves(&self, group: &GroupState<'_>, plans: &mut Vec<LayerPlan>) {
         plans.sort_by(|a, b| b.move_gain().total_cmp(&a.move_gain()));
         let mut moves = 0;
@@ -209,8 +209,8 @@
         plan.gain * horizon_ms * self.options.skew_weight
     }
 
-    /// Returns the time saved by a gain of one unit of the layer's work over the period for which it
-    /// lasts, in milliseconds, if `moves` experts have to be loaded first.
+    /// Returns the time saved by a gain of one unit of the layer's work over the period for which
+    /// it lasts, in milliseconds, if `moves` experts have to be loaded first.
     fn horizon_ms(&self, group: &GroupState<'_>, layer: Layer, moves: usize) -> f32 {
         let options = &self.options;
         let expected_steps = group.popularity.horizon_steps(layer).min(options.max_horizon_steps);
@@ -264,7 +264,8 @@
             loads = candidate.loads;
         }
 
-        // A later move may have evicted the replica of an earlier one, or restored an evicted replica.
+        // A later move may have evicted the replica of an earlier one, or restored an evicted
+        // replica.
         let in_use = &group.map.layers[usize::from(layer)];
         moves.retain(|(m, _)| map.holds(m.expert, m.rank) && !in_use.holds(m.expert, m.rank));
         moves.sort_by_key(|(m, _)| (m.expert, m.rank));
--- a/grebedeck-experts/src/popularity.rs
+++ b/grebedeck-experts/src/popularity.rs
@@ -2,9 +2,9 @@
 //!
 //! A scalar Kalman filter tracks each expert's fraction of its layer's tokens. The sampling noise
 //! follows from the number of counted tokens; variance of the innovations beyond it is taken as
-//! drift. The filter therefore smooths noise and follows an abrupt shift quickly. Late and duplicate
-//! counts are recognised by their step and ignored. A gap in the counts only makes the estimate less
-//! certain.
+//! drift. The filter therefore smooths noise and follows an abrupt shift quickly. Late and
+//! duplicate counts are recognised by their step and ignored. A gap in the counts only makes the
+//! estimate less certain.
 
 use grebedeck_core::{Layer, Step};
 
@@ -13,8 +13,8 @@
 pub struct PopularityOptions {
     /// Ratio of the variance of the counts to that of independently routed tokens.
     pub overdispersion: f32,
-    /// Weight of the newest innovation in the drift estimate, for decreasing drift. Increasing drift
-    /// has three times this weight, at most 1.
+    /// Weight of the newest innovation in the drift estimate, for decreasing drift. Increasing
+    /// drift has three times this weight, at most 1.
     pub drift_gain: f32,
     /// Minimum weight of a new count, so that the estimate never stops adapting.
     pub min_gain: f32,
@@ -108,7 +108,8 @@
         let equal_fraction = 1.0 / f32::from(experts);
         let layer = LayerEstimate {
             fractions: vec![equal_fraction; usize::from(experts)],
-            // The high variance lets the first count replace the initial estimate almost completely.
+            // The high variance lets the first count replace the initial estimate almost
+            // completely.
             variances: vec![equal_fraction * equal_fraction * 4.0; usize::from(experts)],
             drift_per_step: 0.0,
             gradual_drift_per_step: 0.0,
@@ -150,13 +151,13 @@
 
     /// Returns the number of steps for which a layer's popularity is expected to remain similar.
     ///
-    /// The horizon ends when gradual drift has moved about a tenth of the tokens between experts, or
-    /// after the usual interval between abrupt shifts, whichever is earlier.
+    /// The horizon ends when gradual drift has moved about a tenth of the tokens between experts,
+    /// or after the usual interval between abrupt shifts, whichever is earlier.
     pub fn horizon_steps(&self, layer: Layer) -> f32 {
         let layer = &self.layers[usize::from(layer)];
         let experts = layer.fractions.len() as f32;
-        // The variance of the drift is summed over the experts. This value corresponds to a tenth of
-        // all tokens moving between experts.
+        // The variance of the drift is summed over the experts. This value corresponds to a tenth
+        // of all tokens moving between experts.
         let max_variance = 0.16 / experts;
         let drift = layer.gradual_drift_per_step;
         let drift_horizon = if drift <= 0.0 { f32::INFINITY } else { max_variance / drift };
--- a/grebedeck-experts/src/share.rs
+++ b/grebedeck-experts/src/share.rs
@@ -1,8 +1,8 @@
 //! Balances ranks by the shares with which the replicas of an expert split its load.
 //!
 //! Changing shares loads no weights. Each expert's load is distributed over its ranks by water
-//! filling: the ranks' times become as equal as possible, given the load of all other experts. A few
-//! passes over all experts come close to the split with the lowest maximum, because each pass
+//! filling: the ranks' times become as equal as possible, given the load of all other experts. A
+//! few passes over all experts come close to the split with the lowest maximum, because each pass
 //! decreases the sum of squares, which is minimal at that split.
 
 use grebedeck_core::Rank;
@@ -42,8 +42,8 @@
     loads
 }
 
-/// Distributes one expert's load over its ranks by water filling, and returns the sum of the changes
-/// of load over these ranks.
+/// Distributes one expert's load over its ranks by water filling, and returns the sum of the
+/// changes of load over these ranks.
 fn distribute(replicas: &mut [Replica], load: f32, loads: &mut [f32], costs: &[f32]) -> f32 {
     for replica in replicas.iter() {
         loads[usize::from(replica.rank)] -= load * replica.share;
@@ -73,7 +73,8 @@
     moved
 }
 
-/// Returns the water level: the time that all ranks below it reach if `load` is distributed over them.
+/// Returns the water level: the time that all ranks below it reach if `load` is distributed over
+/// them.
 fn water_level(replicas: &[Replica], load: f32, loads: &[f32], costs: &[f32]) -> f32 {
     let time_of = |r: &Replica| loads[usize::from(r.rank)] * costs[usize::from(r.rank)];
     let mut excluded_from = f32::INFINITY;
--- a/grebedeck-experts/src/switch/coordinator.rs
+++ b/grebedeck-experts/src/switch/coordinator.rs
@@ -134,7 +134,8 @@
         self.send_to_unanswered(now)
     }
 
-    /// Handles a member's answer. Answers of other incarnations than those of the roster are ignored.
+    /// Handles a member's answer. Answers of other incarnations than those of the roster are
+    /// ignored.
     pub fn receive(&mut self, message: &Message, now: Moment) -> Vec<CoordinatorAction> {
         let from = usize::from(message.from);
 
@@ -205,8 +206,8 @@
 
     fn abort(&mut self) -> Vec<CoordinatorAction> {
         self.phase = Phase::Idle;
-        // A query makes members that have not armed the version refuse it, and armed members learn of
-        // that from their own queries.
+        // A query makes members that have not armed the version refuse it, and armed members learn
+        // of that from their own queries.
         let body = Body::Query { version: self.version };
         let mut actions: Vec<_> = self.members().map(|to| self.send(to, body.clone())).collect();
         actions.push(CoordinatorAction::Aborted(self.version));
--- a/grebedeck-experts/src/switch/join.rs
+++ b/grebedeck-experts/src/switch/join.rs
@@ -41,8 +41,8 @@
 
     /// Returns the members whose answer is still missing.
     ///
-    /// An answer counts only if its sender knows the same incarnations. Otherwise a replaced process
-    /// could still tell the sender that a version was committed.
+    /// An answer counts only if its sender knows the same incarnations. Otherwise a replaced
+    /// process could still tell the sender that a version was committed.
     pub(super) fn missing(&self, own: MemberNo, roster: &[Incarnation]) -> Vec<MemberNo> {
         let is_valid = |no: &MemberNo| {
             let ack = self.acks[usize::from(*no)].as_ref();
--- a/grebedeck-experts/src/switch/member.rs
+++ b/grebedeck-experts/src/switch/member.rs
@@ -262,7 +262,8 @@
         }
     }
 
-    /// Records a newer incarnation of a member, and returns whether `incarnation` is the newest known.
+    /// Records a newer incarnation of a member, and returns whether `incarnation` is the newest
+    /// known.
     fn record_incarnation(&mut self, from: MemberNo, incarnation: Incarnation) -> bool {
         let known = &mut self.known.roster[usize::from(from)];
 
@@ -343,8 +344,8 @@
         vec![MemberAction::HoldAt { version, at_step }]
     }
 
-    /// Handles the engine's answer to a hold. `done` means that `at_step` has not begun and will not
-    /// begin until the hold is released.
+    /// Handles the engine's answer to a hold. `done` means that `at_step` has not begun and will
+    /// not begin until the hold is released.
     pub fn held(&mut self, version: MapVersion, done: bool, now: Moment) -> Vec<MemberAction> {
         if self.is_replaced() {
             return Vec::new();
@@ -403,8 +404,8 @@
         }
     }
 
-    /// Reports the state of a version; a version that is neither armed nor the current map is refused
-    /// for good.
+    /// Reports the state of a version; a version that is neither armed nor the current map is
+    /// refused for good.
     fn answer_query(&mut self, from: MemberNo, version: MapVersion) -> Vec<MemberAction> {
         let armed = self.armed.as_ref().is_some_and(|a| a.version == version);
 
--- a/grebedeck-experts/tests/assign.rs
+++ b/grebedeck-experts/tests/assign.rs
@@ -1,4 +1,4 @@
-//! Better placements: valid, within what engines take, and worth their copies.
+//! Search for placements: results are valid, within the limits of engines, and worth their copies.
 
 use grebedeck_core::random::SeededSource;
 use grebedeck_core::{RandomSource, Rank};
@@ -18,42 +18,46 @@
     }
 }
 
-/// Draws a popularity in which a few experts have much of the load.
-fn skewed(random: &mut SeededSource) -> Vec<f32> {
+/// Draws a popularity in which a few experts receive most of the load.
+fn draw_skewed_popularity(random: &mut SeededSource) -> Vec<f32> {
     let weight = |_| 1.0 / (0.02 + random.unit() as f32);
 
     (0..EXPERTS).map(weight).collect()
 }
 
 fn assert_valid(before: &Placement, after: &Placement, options: &AssignOptions) {
-    for (had, has) in before.sets.iter().zip(&after.sets) {
+    for (old_set, has) in before.sets.iter().zip(&after.sets) {
         let mut held = vec![false; usize::from(EXPERTS)];
 
-        for (before, now) in had.iter().zip(has) {
-            assert!(now.len() <= options.slots_per_rank, "a rank has no more places");
+        for (before, now) in old_set.iter().zip(has) {
+            assert!(
+                now.len() <= options.slots_per_rank,
+                "a rank holds more experts than it has slots"
+            );
             let new = now.iter().filter(|e| !before.contains(e)).count();
-            assert!(new <= options.max_new_per_rank, "engines take no more new experts at once");
+            assert!(new <= options.max_new_per_rank, "a rank gets more new experts than allowed");
 
             for (at, expert) in now.iter().enumerate() {
-                assert!(!now[..at].contains(expert), "no rank holds an expert twice");
+                assert!(!now[..at].contains(expert), "a rank holds an expert twice");
                 held[usize::from(*expert)] = true;
             }
         }
 
-        assert!(held.iter().all(|h| *h), "each expert is held somewhere");
+        assert!(held.iter().all(|h| *h), "an expert has no replica");
     }
 }
 
 #[test]
-fn placements_are_valid_and_skew_falls_to_the_target() {
+fn placements_are_valid_and_reduce_the_skew_to_the_target() {
     let costs = vec![1.0; usize::from(RANKS)];
     let mut random = SeededSource::new(3);
     let mut placement = Placement::dealt(RANKS, 2, EXPERTS);
 
     for round in 0..60 {
-        let popularity = vec![skewed(&mut random), skewed(&mut random)];
+        let popularity =
+            vec![draw_skewed_popularity(&mut random), draw_skewed_popularity(&mut random)];
         let before = placement.skew(&popularity, &costs);
-        // Engines take only some new experts at once, so a large shift needs a few changes.
+        // The number of new experts per change is limited, so a large shift needs several changes.
         for _ in 0..3 {
             let next = improve(&placement, &popularity, &costs, &options());
             assert_valid(&placement, &next, &options());
@@ -66,31 +70,35 @@
     }
 }
 
-/// A rank copies over one link for all sets, and all ranks wait for the one that copies most.
+/// A rank copies the experts of all sets over one link, and all ranks wait for the one that copies
+/// most, so the limit applies to the sum over the sets.
 #[test]
-fn no_rank_copies_more_than_is_allowed_over_all_sets() {
+fn copies_per_rank_are_limited_over_all_sets() {
     let costs = vec![1.0; usize::from(RANKS)];
     let mut random = SeededSource::new(13);
     let before = Placement::dealt(RANKS, 3, EXPERTS);
 
-    for most in 1..=3 {
-        let popularity: Vec<_> = (0..3).map(|_| skewed(&mut random)).collect();
-        let options = AssignOptions { max_copies_per_rank: most, ..options() };
+    for max_copies in 1..=3 {
+        let popularity: Vec<_> = (0..3).map(|_| draw_skewed_popularity(&mut random)).collect();
+        let options = AssignOptions { max_copies_per_rank: max_copies, ..options() };
         let after = improve(&before, &popularity, &costs, &options);
         let copies_of = |rank| -> usize {
             let parts = before.part_of(rank).into_iter().zip(after.part_of(rank));
-            parts.map(|(had, has)| has.iter().filter(|e| !had.contains(e)).count()).sum()
+            parts.map(|(old_set, has)| has.iter().filter(|e| !old_set.contains(e)).count()).sum()
         };
         let copies: Vec<usize> = (0..RANKS).map(copies_of).collect();
 
-        assert!(copies.iter().all(|c| *c <= most), "at most {most} a rank: {copies:?}");
-        assert!(copies.contains(&most), "what is allowed is used: {copies:?}");
+        assert!(
+            copies.iter().all(|c| *c <= max_copies),
+            "more than {max_copies} copies per rank: {copies:?}"
+        );
+        assert!(copies.contains(&max_copies), "no rank uses the limit: {copies:?}");
         assert!(after.skew(&popularity, &costs) < before.skew(&popularity, &costs));
     }
 }
 
 #[test]
-fn a_level_placement_is_left_as_it_is() {
+fn a_balanced_placement_is_unchanged() {
     let placement = Placement::dealt(RANKS, 1, EXPERTS);
     let popularity = vec![vec![1.0; usize::from(EXPERTS)]];
     let next = improve(&placement, &popularity, &vec![1.0; usize::from(RANKS)], &options());
@@ -99,7 +107,7 @@
 }
 
 #[test]
-fn a_slow_rank_is_relieved() {
+fn load_moves_away_from_a_slow_rank() {
     let placement = Placement::dealt(RANKS, 1, EXPERTS);
     let popularity = vec![vec![1.0; usize::from(EXPERTS)]];
     let mut costs = vec![1.0; usize::from(RANKS)];
@@ -115,30 +123,30 @@
 }
 
 #[test]
-fn copies_that_gain_too_little_are_not_made() {
+fn copies_below_the_minimum_gain_are_not_made() {
     let mut random = SeededSource::new(5);
-    let popularity = vec![skewed(&mut random)];
+    let popularity = vec![draw_skewed_popularity(&mut random)];
     let costs = vec![1.0; usize::from(RANKS)];
     let placement = Placement::dealt(RANKS, 1, EXPERTS);
-    let careful = AssignOptions { min_gain_per_copy: 100.0, ..options() };
+    let costly_copies = AssignOptions { min_gain_per_copy: 100.0, ..options() };
 
-    assert_eq!(placement.copies_to(&improve(&placement, &popularity, &costs, &careful)), 0);
+    assert_eq!(placement.copies_to(&improve(&placement, &popularity, &costs, &costly_copies)), 0);
 }
 
 #[test]
-fn a_placement_is_put_together_from_its_parts() {
+fn a_placement_can_be_rebuilt_from_the_parts_of_its_ranks() {
     let placement = Placement::dealt(RANKS, 3, EXPERTS);
     let parts: Vec<_> = (0..RANKS).map(|rank| placement.part_of(rank)).collect();
 
     assert_eq!(Placement::from_parts(parts.iter()), placement);
 }
 
-/// With 72 ranks a whole placement to each of them filled the leader's link: its messages were lost, and
-/// the others took it for gone.
+/// Sending the whole placement to each of 72 ranks saturates the leader's link; its messages are
+/// lost and the other ranks consider it dead. Only the changes are sent, so they have to be small.
 #[test]
-fn what_differs_in_a_placement_leads_to_it_and_is_short() {
+fn applying_the_changes_rebuilds_the_placement_and_they_are_few() {
     let mut random = SeededSource::new(9);
-    let popularity = vec![skewed(&mut random), skewed(&mut random)];
+    let popularity = vec![draw_skewed_popularity(&mut random), draw_skewed_popularity(&mut random)];
     let costs = vec![1.0; usize::from(RANKS)];
     let placement = Placement::dealt(RANKS, 2, EXPERTS);
     let next = improve(&placement, &popularity, &costs, &options());
@@ -146,13 +154,17 @@
 
     assert_eq!(placement.with(&changes), Some(next));
     assert!(!changes.is_empty() && changes.len() < 2 * usize::from(RANKS), "{}", changes.len());
-    assert_eq!(Placement::dealt(2, 1, 4).with(&changes), None, "it does not fit another");
+    assert_eq!(
+        Placement::dealt(2, 1, 4).with(&changes),
+        None,
+        "changes applied to an unrelated placement"
+    );
 }
 
-/// The least gain that is worth a copy was that of a group of 16 ranks: of 192 a dozen stand above the mean, one copy
-/// relieves one of them, and the search ended at a skew of 2.19.
+/// With the minimum gain per copy of a group of 16 ranks, the search for 192 ranks ends at a skew
+/// of 2.19: a dozen ranks are above the mean, and one copy relieves only one of them.
 #[test]
-fn a_large_group_comes_as_near_to_its_target_as_a_small_one() {
+fn a_large_group_reaches_its_target_skew() {
     const MANY_RANKS: Rank = 192;
     const MANY_EXPERTS: u16 = 384;
     let costs = vec![1.0; usize::from(MANY_RANKS)];
--- a/grebedeck-experts/tests/map.rs
+++ b/grebedeck-experts/tests/map.rs
@@ -1,11 +1,11 @@
-//! Maps and their differences as they travel.
+//! Differences between expert maps, and the encoding of token counts.
 
 use grebedeck_experts::counter::{decode_count, encode_count};
 use grebedeck_experts::map::{ExpertDelta, ExpertMap, MapDelta};
 use grebedeck_experts::share::{DEFAULT_PASSES, balance};
 
 #[test]
-fn a_difference_leads_to_nearly_the_same_map_and_names_only_what_changed() {
+fn applying_a_difference_rebuilds_the_map_up_to_rounding_and_it_lists_only_changes() {
     let map = ExpertMap::spread(8, 32, 2, 6);
     let mut loads = vec![0.02; 32];
     loads[4] = 0.3;
@@ -27,24 +27,24 @@
 }
 
 #[test]
-fn a_difference_that_does_not_fit_is_refused() {
+fn a_difference_that_does_not_fit_is_rejected() {
     let map = ExpertMap::spread(4, 8, 1, 4);
-    let with = |layer, expert, replicas| {
+    let apply = |layer, expert, replicas| {
         map.apply_delta(&MapDelta { experts: vec![ExpertDelta { layer, expert, replicas }] })
     };
 
-    assert!(with(0, 0, vec![(1, 255)]).is_some());
-    assert!(with(3, 0, vec![(1, 255)]).is_none());
-    assert!(with(0, 99, vec![(1, 255)]).is_none());
-    assert!(with(0, 0, vec![(9, 255)]).is_none());
-    assert!(with(0, 0, vec![]).is_none());
+    assert!(apply(0, 0, vec![(1, 255)]).is_some());
+    assert!(apply(3, 0, vec![(1, 255)]).is_none());
+    assert!(apply(0, 99, vec![(1, 255)]).is_none());
+    assert!(apply(0, 0, vec![(9, 255)]).is_none());
+    assert!(apply(0, 0, vec![]).is_none());
 }
 
 #[test]
-fn counts_survive_their_byte_to_within_three_in_a_hundred() {
+fn encoded_counts_are_accurate_to_within_three_percent() {
     for count in [0u64, 1, 10, 100, 1_234, 98_765, 2_000_000] {
         let decoded = f64::from(decode_count(encode_count(count)));
-        let off = (decoded - count as f64).abs();
-        assert!(off <= 0.6_f64.max(count as f64 * 0.031), "{count} {decoded}");
+        let error = (decoded - count as f64).abs();
+        assert!(error <= 0.6_f64.max(count as f64 * 0.031), "{count} {decoded}");
     }
 }
--- a/grebedeck-experts/tests/plan.rs
+++ b/grebedeck-experts/tests/plan.rs
@@ -1,4 +1,4 @@
-//! The planner: worth its cost, calm when nothing changes, and valid whatever it is given.
+//! Planner: plans are worth their cost, stable when nothing changes, and valid for any input.
 
 use std::time::Duration;
 
@@ -26,14 +26,15 @@
 }
 
 #[test]
-fn a_plan_is_made_once_and_not_again() {
+fn a_plan_is_not_made_again_once_applied() {
     let map = ExpertMap::spread(8, 32, 1, 6);
     let mut tokens = vec![100.0; 32];
     tokens[3] = 4_000.0;
     let popularity = popularity(&tokens, 20);
     let planner = Planner::default();
 
-    let plan = planner.plan(&state(&map, &popularity, &[1.0; 8])).expect("one expert is hot");
+    let plan =
+        planner.plan(&state(&map, &popularity, &[1.0; 8])).expect("a plan for the popular expert");
     plan.map.assert_valid();
     assert!(!plan.moves.is_empty());
     assert_eq!(plan.moves.len(), map.moves_to(&plan.map).len());
@@ -42,7 +43,7 @@
 }
 
 #[test]
-fn even_popularity_needs_no_moves() {
+fn equal_popularity_needs_no_moves() {
     let map = ExpertMap::spread(8, 32, 1, 6);
     let popularity = popularity(&[500.0; 32], 20);
 
@@ -58,14 +59,16 @@
     let mut costs = [1.0; 8];
     costs[2] = 2.0;
 
-    let plan = Planner::default().plan(&state(&map, &popularity, &costs)).expect("a slow rank");
+    let plan = Planner::default()
+        .plan(&state(&map, &popularity, &costs))
+        .expect("a plan for the slow rank");
     let loads = plan.map.layers[0].rank_loads(popularity.fractions(0), 8);
 
     assert!(loads[2] < 0.75 / 8.0, "{loads:?}");
 }
 
 #[test]
-fn dear_moves_are_not_made() {
+fn moves_that_cost_too_much_are_not_made() {
     let map = ExpertMap::spread(8, 32, 1, 6);
     let mut tokens = vec![100.0; 32];
     tokens[3] = 4_000.0;
@@ -78,7 +81,7 @@
 }
 
 #[test]
-fn no_more_changes_than_the_budget_allows() {
+fn changes_are_limited_by_the_budget() {
     let map = ExpertMap::spread(8, 32, 1, 6);
     let mut tokens = vec![100.0; 32];
     tokens[3] = 4_000.0;
@@ -99,7 +102,7 @@
         rng_seed: proptest::test_runner::RngSeed::Fixed(5), ..ProptestConfig::default() })]
 
     #[test]
-    fn plans_are_valid_and_never_promise_a_loss(
+    fn plans_are_valid_and_expect_a_gain(
         tokens in prop::collection::vec(prop_oneof![Just(0.0f32), 1.0f32..5_000.0], 24),
         costs in prop::collection::vec(0.8f32..3.0, 6),
     ) {
--- a/grebedeck-experts/tests/starts.rs
+++ b/grebedeck-experts/tests/starts.rs
@@ -1,4 +1,4 @@
-//! Engines that start again: what an earlier start counted or said is no part of the next one.
+//! Restarted engines: counts and reports of an earlier start are not mixed with those of the next.
 
 use std::time::Duration;
 
@@ -44,20 +44,21 @@
     }
 }
 
-/// A start that has counted more than the one before, in the same formation by its number.
+/// The restarted engine has the same epoch and higher counts, so only its start time shows that the
+/// counts are not comparable.
 #[test]
-fn counts_of_two_starts_are_not_taken_from_each_other() {
+fn counts_of_different_starts_are_not_subtracted() {
     let mut tracker = CountTracker::default();
     assert!(tracker.record(0, counts(1, &[5, 5])).is_none());
     assert!(tracker.record(0, counts(1, &[7, 9])).is_some());
     assert!(tracker.record(0, counts(2, &[8, 9])).is_none());
 
-    let report = tracker.record(0, counts(2, &[9, 9])).expect("one was counted");
+    let report = tracker.record(0, counts(2, &[9, 9])).expect("one token was counted");
     assert_eq!(report.born_ms, Some(2));
 }
 
 #[test]
-fn a_node_forgets_its_plans_when_its_engine_has_started_again() {
+fn a_node_begins_a_new_epoch_when_its_engine_has_restarted() {
     let mut node: Node<u16> = Node::new(0, 1, MS(0), NodeOptions::default());
     node.on_report(report(0, Some(1)), MS(0));
     let is_new = |actions: Vec<Action<u16>>| {
@@ -69,7 +70,7 @@
 }
 
 #[test]
-fn a_late_word_of_an_earlier_start_is_dropped_by_the_leader() {
+fn the_leader_ignores_late_reports_of_an_earlier_start() {
     let mut node: Node<u16> = Node::new(0, 1, MS(0), NodeOptions::default());
     node.on_report(report(0, Some(1)), MS(0));
     let leads = |action: Action<u16>| match action {
@@ -79,18 +80,19 @@
     let mut ticks = (1..1000).map(|tick| MS(50 * tick));
     let (promised, now) = ticks
         .find_map(|at| Some((node.tick(at).into_iter().find_map(leads)?, at)))
-        .expect("it leads where nobody else does");
-    let tell = |node: &mut Node<u16>, born_ms, now| {
-        let told = status(promised, report(1, Some(born_ms)));
-        node.on_message(1, Message::Status(told), now);
+        .expect("the node becomes leader, as no other rank leads");
+    let send_status = |node: &mut Node<u16>, born_ms, now| {
+        let message = status(promised, report(1, Some(born_ms)));
+        node.on_message(1, Message::Status(message), now);
     };
-    tell(&mut node, 20, now);
-    tell(&mut node, 10, now + MS(100));
+    send_status(&mut node, 20, now);
+    send_status(&mut node, 10, now + MS(100));
     assert!(node.is_of_other_start(1, Some(10)));
     assert!(!node.is_of_other_start(1, Some(20)));
-    assert!(!node.is_of_other_start(1, None), "an engine that does not tell its start");
+    assert!(!node.is_of_other_start(1, None), "an engine that does not report its start");
 
-    // The clock of its instance went back: what goes on is believed.
-    tell(&mut node, 10, now + MS(1500));
+    // The clock of the instance went back. Reports that keep arriving with the earlier start are
+    // accepted.
+    send_status(&mut node, 10, now + MS(1500));
     assert!(!node.is_of_other_start(1, Some(10)));
 }
