--- a/grebedeck-gateway/src/answer.rs
+++ b/grebedeck-gateway/src/answer.rs
@@ -30,7 +30,7 @@
 pub const MISDIRECTED: u16 = 421;
 
 /// Statuses that promise a caller that its request has not run.
-pub fn promises_not_run(status: u16) -> bool {
+pub fn implies_not_run(status: u16) -> bool {
     matches!(status, 408 | MISDIRECTED | 429 | 503)
 }
 
@@ -40,7 +40,7 @@
         MISDIRECTED => Verdict::OtherTarget,
         _ if says_not_run => Verdict::Refused,
         // Without the target's word that it has not run, the status would promise too much.
-        status if promises_not_run(status) => Verdict::Unusable,
+        status if implies_not_run(status) => Verdict::Unusable,
         200..300 if is_signed => Verdict::Pass,
         200..300 => Verdict::Unusable,
         500.. => Verdict::Failure,
@@ -49,7 +49,7 @@
 }
 
 /// Tells whether a request may be sent to a target again.
-pub fn may_send_again(kind: Kind, run: RunState) -> bool {
+pub fn may_retry(kind: Kind, run: RunState) -> bool {
     run == RunState::NotRun || kind.is_repeatable()
 }
 
--- a/grebedeck-gateway/src/cold.rs
+++ b/grebedeck-gateway/src/cold.rs
@@ -45,16 +45,16 @@
 
 /// An owner's part of what a cold target may get.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ColdPart {
+pub struct ColdShare {
     /// Gateways that send to the target.
     pub owners: u32,
     /// Requests a second of each of them, beside one at once.
     pub per_s: f64,
 }
 
-impl ColdPart {
+impl ColdShare {
     /// Gets the part for targets that bear `cold_per_s` while they are cold; `None` where there is no bound.
-    pub fn of(cold_per_s: f64) -> Option<Self> {
+    pub fn from_rate(cold_per_s: f64) -> Option<Self> {
         if cold_per_s <= 0.0 {
             return None;
         }
@@ -64,7 +64,7 @@
         let owners = if rate(OWNERS) >= MIN_RATE_PER_S { OWNERS } else { FEW_OWNERS };
         let per_s = rate(owners).min(cold_per_s / f64::from(owners));
 
-        Some(ColdPart { owners, per_s })
+        Some(ColdShare { owners, per_s })
     }
 }
 
@@ -81,7 +81,7 @@
 
 /// A gateway's part in cold targets.
 #[derive(Clone, Debug, Default)]
-pub struct ColdGate {
+pub struct ColdLimiter {
     /// The gateways of the list as it was read last, as texts to hash; none while this one is not among them.
     gateways: Vec<String>,
     own: String,
@@ -92,7 +92,7 @@
     cold: HashMap<TargetId, Cold>,
 }
 
-impl ColdGate {
+impl ColdLimiter {
     /// Takes in the gateways of the list as the store has it. Those that stand elsewhere do not count, as not all
     /// gateways know of them.
     pub fn set_gateways(&mut self, own: SocketAddr, listed: &BTreeSet<SocketAddr>, now: Moment) {
@@ -115,7 +115,7 @@
 
     /// Takes in a target's own word on how much longer it is cold, which outweighs what was taken for so before.
     /// It is counted from when it was heard, which errs late.
-    pub fn note_word(&mut self, target: &str, remaining: Duration, now: Moment) {
+    pub fn record_report(&mut self, target: &str, remaining: Duration, now: Moment) {
         let remaining = remaining.min(MAX_COLD);
 
         match self.cold.get_mut(target) {
@@ -150,7 +150,7 @@
             return true;
         }
 
-        let Some(part) = ColdPart::of(cold_per_s) else {
+        let Some(part) = ColdShare::from_rate(cold_per_s) else {
             return true;
         };
 
@@ -162,7 +162,7 @@
     }
 
     /// Notes that a request is sent to a target; tells whether it might be.
-    pub fn take(&mut self, target: &str, cold_per_s: f64, now: Moment) -> bool {
+    pub fn try_acquire(&mut self, target: &str, cold_per_s: f64, now: Moment) -> bool {
         if !self.may_send(target, cold_per_s, now) {
             return false;
         }
@@ -175,12 +175,12 @@
     }
 
     /// Forgets targets that have not been cold for a while.
-    pub fn forget_warm(&mut self, now: Moment) {
+    pub fn remove_expired(&mut self, now: Moment) {
         self.cold.retain(|_, cold| now < cold.until + MEMORY);
     }
 
     /// Adds what has become free of the part since the last look; gives what is saved.
-    fn save_up(&mut self, target: &str, part: ColdPart, now: Moment) -> f64 {
+    fn save_up(&mut self, target: &str, part: ColdShare, now: Moment) -> f64 {
         let Some(cold) = self.cold.get_mut(target) else {
             return 0.0;
         };
--- a/grebedeck-gateway/src/events.rs
+++ b/grebedeck-gateway/src/events.rs
@@ -43,7 +43,7 @@
     }
 
     /// Gets the bytes that belong to no whole event.
-    pub fn rest(&self) -> &[u8] {
+    pub fn remainder(&self) -> &[u8] {
         &self.buffer
     }
 }
--- a/grebedeck-gateway/src/leaving.rs
+++ b/grebedeck-gateway/src/leaving.rs
@@ -41,13 +41,13 @@
 
 /// Starts of targets that said that they leave, and when they did.
 #[derive(Clone, Debug, Default)]
-pub struct LeavingWords {
+pub struct LeavingNotices {
     said: BTreeMap<(TargetId, Birth), Said>,
 }
 
-impl LeavingWords {
+impl LeavingNotices {
     /// Notes that a start of a target says that it leaves; tells whether that is news.
-    pub fn note(&mut self, target: &TargetEntry, now: Moment) -> bool {
+    pub fn record(&mut self, target: &TargetEntry, now: Moment) -> bool {
         let key = (target.id.clone(), target.born_ms);
         let before = self.said.get(&key).copied();
         let at = before.map_or(now, |before| before.at);
@@ -59,7 +59,7 @@
 
     /// Notes that the list names another start of a target than before, which it may have lagged behind since it was
     /// taken in last.
-    pub fn note_start(&mut self, target: &TargetEntry, listed_before: Moment, now: Moment) {
+    pub fn record_start(&mut self, target: &TargetEntry, listed_before: Moment, now: Moment) {
         let key = (target.id.clone(), target.born_ms);
         let from = listed_before.saturating_sub(ENTRY_LAG);
         let of_target = self.said.range((target.id.clone(), None)..);
@@ -75,7 +75,7 @@
     }
 
     /// Tells whether this start of a target said that it leaves.
-    pub fn has(&self, target: &TargetEntry, now: Moment) -> bool {
+    pub fn contains(&self, target: &TargetEntry, now: Moment) -> bool {
         if self.said.is_empty() {
             return false;
         }
@@ -84,7 +84,7 @@
     }
 
     /// Forgets words that are not believed any more; tells whether there were some.
-    pub fn forget_doubtful(&mut self, now: Moment) -> bool {
+    pub fn remove_expired(&mut self, now: Moment) -> bool {
         let before = self.said.len();
         self.said.retain(|_, said| said.holds(now));
 
--- a/grebedeck-gateway/src/lib.rs
+++ b/grebedeck-gateway/src/lib.rs
@@ -34,20 +34,20 @@
 
 pub use answer::{RunState, Verdict, judge};
 pub use choice::chooser_options;
-pub use cold::{ColdGate, ColdPart};
+pub use cold::{ColdLimiter, ColdShare};
 pub use coordinator::Coordinators;
 pub use evacuation::{Evacuations, HallEvent, HallWord, HallWords};
 pub use events::{Event, EventBuffer};
 pub use feed::{Feed, FeedState, Fold};
 pub use limit::{Limits, Permit};
 pub use outage::{Availability, Outage, OutageOptions};
-pub use pacing::{Pacing, PacingOptions, PromptRate};
-pub use patience::{Patience, PatienceOptions};
+pub use pacing::{Pacing, PacingOptions, PromptLimiter};
+pub use patience::{WaitLimit, WaitLimitOptions};
 pub use quota::{QuotaLedger, QuotaMessage};
 pub use refusals::Refusals;
 pub use relay::{RelayOptions, Relays, Source};
-pub use rest::Rest;
-pub use retry::{WindowBudget, WindowOptions};
+pub use rest::RetryAfter;
+pub use retry::{WindowedRetryBudget, WindowedRetryOptions};
 pub use routes::{Admitted, Denied, RouteTable};
 pub use site::{
     CallerLimits, EngineSpec, Kind, Organisation, RouteRule, ServiceSpec, Site, Weighted,
--- a/grebedeck-gateway/src/memory.rs
+++ b/grebedeck-gateway/src/memory.rs
@@ -11,20 +11,20 @@
 
 /// A part of memory.
 #[derive(Clone, Debug)]
-pub struct Memory {
+pub struct MemoryBudget {
     max_bytes: usize,
     used_bytes: usize,
-    most_bytes: usize,
+    peak_bytes: usize,
 }
 
-impl Memory {
+impl MemoryBudget {
     /// Makes one of which nothing is taken.
     pub fn new(max_bytes: usize) -> Self {
-        Memory { max_bytes, used_bytes: 0, most_bytes: 0 }
+        MemoryBudget { max_bytes, used_bytes: 0, peak_bytes: 0 }
     }
 
     /// Takes more for a holder that has some already; tells whether there was enough left.
-    pub fn take(&mut self, held_bytes: usize, more_bytes: usize) -> bool {
+    pub fn try_reserve(&mut self, held_bytes: usize, more_bytes: usize) -> bool {
         let used = self.used_bytes.saturating_add(more_bytes);
 
         if used > self.limit_for(held_bytes.saturating_add(more_bytes)) {
@@ -32,17 +32,17 @@
         }
 
         self.used_bytes = used;
-        self.most_bytes = self.most_bytes.max(used);
+        self.peak_bytes = self.peak_bytes.max(used);
         true
     }
 
     /// Gives back what was taken.
-    pub fn give_back(&mut self, bytes: usize) {
+    pub fn release(&mut self, bytes: usize) {
         self.used_bytes -= bytes;
     }
 
     /// Tells whether a holder of that much could get it if nobody else held anything.
-    pub fn could_hold(&self, bytes: usize) -> bool {
+    pub fn can_hold(&self, bytes: usize) -> bool {
         bytes <= self.limit_for(bytes)
     }
 
@@ -52,8 +52,8 @@
     }
 
     /// Gets the most bytes that were taken at a time.
-    pub fn most_bytes(&self) -> usize {
-        self.most_bytes
+    pub fn peak_bytes(&self) -> usize {
+        self.peak_bytes
     }
 
     /// Gets the bytes that may be taken.
--- a/grebedeck-gateway/src/outage.rs
+++ b/grebedeck-gateway/src/outage.rs
@@ -14,16 +14,16 @@
 #[derive(Clone, Copy, Debug)]
 pub struct OutageOptions {
     /// Failures in a row, without any success, after which a service is taken for out.
-    pub failures: u32,
+    pub failure_threshold: u32,
     /// How long an outage is expected to last: what engines wait for a lost rank, and what a group needs
     /// to form.
-    pub expected: Duration,
+    pub expected_duration: Duration,
     /// What is expected once an outage has lasted longer than that.
-    pub overdue: Duration,
+    pub overdue_estimate: Duration,
     /// How long the group's own word on whether it is open outweighs what requests show.
-    pub word_lifetime: Duration,
+    pub report_lifetime: Duration,
     /// Pause between two trials: a few round trips, so that a return is noticed at once.
-    pub trial_pause: Duration,
+    pub probe_interval: Duration,
 }
 
 /// Whether a service is expected to take requests.
@@ -64,7 +64,7 @@
     }
 
     /// Notes that a target took a request; tells whether that ended an outage.
-    pub fn succeeded(&mut self, now: Moment) -> bool {
+    pub fn record_success(&mut self, now: Moment) -> bool {
         let was_out = self.is_out();
         self.failures = 0;
         self.since = now;
@@ -75,38 +75,38 @@
 
     /// Notes that a group of the service says that it makes passes; tells whether that ended an outage.
     /// `formation` counts how often the group has formed.
-    pub fn opened(&mut self, group: GroupId, formation: u64, now: Moment) -> bool {
-        self.note_word(group, formation, true, now) && self.is_out() && self.succeeded(now)
+    pub fn record_open(&mut self, group: GroupId, formation: u64, now: Moment) -> bool {
+        self.note_word(group, formation, true, now) && self.is_out() && self.record_success(now)
     }
 
     /// Notes that a target with room took no request; tells whether the service is out since then. While
     /// the group itself says that it is open, failures are those of single targets or connections.
-    pub fn failed(&mut self, now: Moment) -> bool {
+    pub fn record_failure(&mut self, now: Moment) -> bool {
         if self.has_group(true, now) {
             return false;
         }
 
-        self.refused()
+        self.record_refusal()
     }
 
     /// Notes that a target with room refused a request; tells whether the service is out since then. A
     /// group whose ranks are gone says that it is open until it has given them up, and refuses already.
-    pub fn refused(&mut self) -> bool {
+    pub fn record_refusal(&mut self) -> bool {
         self.failures = self.failures.saturating_add(1);
 
-        self.failures == self.options.failures
+        self.failures == self.options.failure_threshold
     }
 
     /// Notes that a group of the service says that it makes no passes; tells whether the service is out
     /// since then, as no other group is open. A rank that has not yet noticed the newest formation is late,
     /// not closed.
-    pub fn closed(&mut self, group: GroupId, formation: u64, now: Moment) -> bool {
+    pub fn record_closed(&mut self, group: GroupId, formation: u64, now: Moment) -> bool {
         if !self.note_word(group, formation, false, now) || self.has_group(true, now) {
             return false;
         }
 
         let was_out = self.is_out();
-        self.failures = self.failures.max(self.options.failures);
+        self.failures = self.failures.max(self.options.failure_threshold);
 
         !was_out
     }
@@ -126,27 +126,27 @@
             return Availability::Up;
         }
 
-        let expected_at = self.since + self.options.expected;
+        let expected_at = self.since + self.options.expected_duration;
 
         match expected_at.checked_sub(now) {
             Some(left) if !left.is_zero() => Availability::Out(left),
-            _ => Availability::Out(self.options.overdue),
+            _ => Availability::Out(self.options.overdue_estimate),
         }
     }
 
     /// Tells whether the service has been out for longer than outages are expected to last.
     pub fn is_overdue(&self, now: Moment) -> bool {
-        self.is_out() && now >= self.since + self.options.expected
+        self.is_out() && now >= self.since + self.options.expected_duration
     }
 
     /// Tells whether a single request may be sent to find out whether the service is back, and notes it.
     /// While the group itself says that it is closed, each would only be refused.
-    pub fn take_trial(&mut self, now: Moment) -> bool {
+    pub fn try_probe(&mut self, now: Moment) -> bool {
         if self.has_group(false, now) && !self.has_group(true, now) {
             return false;
         }
 
-        let is_due = self.tried_at.is_none_or(|at| now >= at + self.options.trial_pause);
+        let is_due = self.tried_at.is_none_or(|at| now >= at + self.options.probe_interval);
 
         if is_due {
             self.tried_at = Some(now);
@@ -164,12 +164,12 @@
             return false;
         }
 
-        let until = now + self.options.word_lifetime;
+        let until = now + self.options.report_lifetime;
         self.groups.insert(group, Word { formation, is_open, until });
         true
     }
 
     fn is_out(&self) -> bool {
-        self.failures >= self.options.failures
+        self.failures >= self.options.failure_threshold
     }
 }
--- a/grebedeck-gateway/src/pacing.rs
+++ b/grebedeck-gateway/src/pacing.rs
@@ -26,11 +26,11 @@
     /// Weight of each new pause in the mean and the deviation over a longer time.
     pub long_gain: f64,
     /// Age at which the mean is no longer believed.
-    pub lifetime: Duration,
+    pub sample_lifetime: Duration,
     /// Least load that is always allowed, in requests for each place.
     pub min_load: f64,
     /// What a late answer is worth, as a part of one in time.
-    pub late_worth: f64,
+    pub late_value: f64,
     /// Longest pause with which a stream still ends before its deadline.
     pub late_limit: Duration,
 }
@@ -49,11 +49,11 @@
             gain: 0.03,
             // A thousand pauses, some seconds of them: shifts of what is popular come as often.
             long_gain: 0.001,
-            lifetime: Duration::from_secs(1),
+            sample_lifetime: Duration::from_secs(1),
             // Enough that a group that comes back shows its pace at once.
             min_load: 0.3,
             // The users' sheets give 0.49 to 0.51 for streams.
-            late_worth: 0.5,
+            late_value: 0.5,
             late_limit: Duration::MAX,
         }
     }
@@ -76,16 +76,16 @@
 /// All ranks wait in each pass for the one that reads most, so prompts that begin together make every
 /// stream pause. After an outage hundreds of them come at once.
 #[derive(Clone, Copy, Debug)]
-pub struct PromptRate {
+pub struct PromptLimiter {
     tokens_per_s: f64,
     burst: Duration,
     free_at: Moment,
 }
 
-impl PromptRate {
+impl PromptLimiter {
     /// Makes a rate; prompts worth `burst` of it may begin at once after a pause.
     pub fn new(tokens_per_s: f64, burst: Duration) -> Self {
-        PromptRate { tokens_per_s, burst, free_at: Moment::ZERO }
+        PromptLimiter { tokens_per_s, burst, free_at: Moment::ZERO }
     }
 
     /// Sets the rate, as targets and gateways come and go.
@@ -129,7 +129,7 @@
     }
 
     /// Takes in the pause between two events of one stream.
-    pub fn note_pause(&mut self, pause: Duration, now: Moment) {
+    pub fn record_pause(&mut self, pause: Duration, now: Moment) {
         let pause_s = pause.as_secs_f64();
         self.note_spread(pause_s);
 
@@ -153,7 +153,7 @@
     }
 
     /// Gets the mean pause that is aimed at: pauses vary, and the longest of a stream decides.
-    pub fn aim(&self) -> Duration {
+    pub fn desired_pause(&self) -> Duration {
         let spread = self.spread.min(MAX_SPREAD);
 
         self.options.pause_limit.div_f64(1.0 + self.options.deviations * spread)
@@ -173,7 +173,7 @@
         }
 
         let usual_base_s = self.options.base.as_secs_f64();
-        let aim_s = self.aim().as_secs_f64();
+        let aim_s = self.desired_pause().as_secs_f64();
         let empty_s = (usual_base_s * slowdown).min(self.mean_s);
         // Below the time of an empty pass nothing follows from the pause.
         let for_requests_s = (self.mean_s - empty_s).max(usual_base_s * 0.1);
@@ -182,12 +182,12 @@
         let least = self.options.min_load.min(full);
         let late = (load * (late_s - empty_s) / for_requests_s).clamp(least, full);
         let at_late_s = empty_s + for_requests_s * late / load.max(self.options.min_load);
-        let is_better_late = late / at_late_s * self.options.late_worth > in_time / aim_s;
+        let is_better_late = late / at_late_s * self.options.late_value > in_time / aim_s;
 
         if is_better_late { late } else { in_time.max(least) }
     }
 
     fn is_known(&self, now: Moment) -> bool {
-        self.seen_at.is_some_and(|at| now < at + self.options.lifetime)
+        self.seen_at.is_some_and(|at| now < at + self.options.sample_lifetime)
     }
 }
--- a/grebedeck-gateway/src/refusals.rs
+++ b/grebedeck-gateway/src/refusals.rs
@@ -15,7 +15,7 @@
 
 use grebedeck_core::{Moment, ServiceName};
 
-use crate::rest::Rest;
+use crate::rest::RetryAfter;
 use crate::targets::{TargetEntry, TargetId};
 
 /// Pause of a target that refused for the first time: some round trips, in which a place may become free.
@@ -37,7 +37,7 @@
 struct Refusing {
     service: ServiceName,
     /// Until when the target itself wants nothing.
-    rest: Rest,
+    rest: RetryAfter,
     /// Until when it gets nothing, as it refused.
     pause_until: Moment,
     /// Pauses since it last took a request; none if nothing but its rest is known.
@@ -58,13 +58,13 @@
 
 /// What a refusal changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RefusalNews {
+pub enum RefusalEffect {
     /// Nothing: more was known already.
     None,
     /// The target asks for rest.
-    Rests,
+    RetryAfterRequested,
     /// The target has refused without a word on rest, and gets nothing for this time.
-    Paused(Duration),
+    BackedOff(Duration),
 }
 
 /// Targets that refuse.
@@ -77,23 +77,23 @@
 
 impl Refusals {
     /// Notes that a target refused a request; `asked` is for how long it wants nothing, if it says so.
-    pub fn refused(
+    pub fn record_refusal(
         &mut self,
         target: &TargetEntry,
         asked: Option<Duration>,
         now: Moment,
-    ) -> RefusalNews {
+    ) -> RefusalEffect {
         let known = self.targets.entry(target.id.clone()).or_insert_with(|| Refusing {
             service: target.service.clone(),
-            rest: Rest::default(),
+            rest: RetryAfter::default(),
             pause_until: now,
             pauses: 0,
             trial_until: None,
         });
-        let rested = known.rest.holds(now);
+        let rested = known.rest.is_active(now);
         // Requests that were on their way together are refused together, and say no more than one of them.
         let is_first = now >= known.pause_until && !rested;
-        known.rest.ask(asked.unwrap_or_default(), now);
+        known.rest.extend(asked.unwrap_or_default(), now);
         known.trial_until = None;
 
         if is_first {
@@ -102,15 +102,15 @@
             known.pause_until = now + pause;
         }
 
-        match known.rest.holds(now) {
-            true if !rested => RefusalNews::Rests,
-            false if is_first => RefusalNews::Paused(known.pause_until - now),
-            _ => RefusalNews::None,
+        match known.rest.is_active(now) {
+            true if !rested => RefusalEffect::RetryAfterRequested,
+            false if is_first => RefusalEffect::BackedOff(known.pause_until - now),
+            _ => RefusalEffect::None,
         }
     }
 
     /// Notes that a target refused a request as it is full, which its load says: that is no outcome of a trial.
-    pub fn full(&mut self, target: &str) {
+    pub fn record_full(&mut self, target: &str) {
         if let Some(known) = self.targets.get_mut(target) {
             known.trial_until = None;
         }
@@ -118,12 +118,12 @@
 
     /// Notes that a target took a request; tells whether it had refused before. While it rests that says nothing: the
     /// request was sent before.
-    pub fn took(&mut self, target: &TargetEntry, now: Moment) -> bool {
+    pub fn record_accepted(&mut self, target: &TargetEntry, now: Moment) -> bool {
         let Some(known) = self.targets.get(&target.id) else {
             return false;
         };
 
-        if known.rest.holds(now) {
+        if known.rest.is_active(now) {
             return false;
         }
 
@@ -136,7 +136,7 @@
     }
 
     /// Notes that a request is sent to a target; tells whether that is a trial.
-    pub fn sent(&mut self, target: &TargetEntry, now: Moment) -> bool {
+    pub fn record_sent(&mut self, target: &TargetEntry, now: Moment) -> bool {
         let known = self.targets.get_mut(&target.id).filter(|known| known.is_on_trial());
         let is_trial = known.is_some();
 
@@ -161,28 +161,28 @@
     }
 
     /// Gets how much longer a target rests.
-    pub fn rest_left(&self, target: &str, now: Moment) -> Duration {
-        self.targets.get(target).map_or(Duration::ZERO, |known| known.rest.left(now))
+    pub fn retry_after(&self, target: &str, now: Moment) -> Duration {
+        self.targets.get(target).map_or(Duration::ZERO, |known| known.rest.remaining(now))
     }
 
     /// Gets after which time the first of some targets has rested, where all of them rest.
-    pub fn all_rest(&self, targets: &[Arc<TargetEntry>], now: Moment) -> Option<Duration> {
+    pub fn min_retry_after(&self, targets: &[Arc<TargetEntry>], now: Moment) -> Option<Duration> {
         if self.targets.is_empty() {
             return None;
         }
 
-        let left = targets.iter().map(|target| self.rest_left(&target.id, now)).min()?;
+        let left = targets.iter().map(|target| self.retry_after(&target.id, now)).min()?;
 
         (!left.is_zero()).then_some(left)
     }
 
     /// Gets those of some targets that do not rest.
-    pub fn without_resting(
+    pub fn without_retry_after(
         &self,
         targets: &Arc<[Arc<TargetEntry>]>,
         now: Moment,
     ) -> Arc<[Arc<TargetEntry>]> {
-        let rests = |target: &Arc<TargetEntry>| !self.rest_left(&target.id, now).is_zero();
+        let rests = |target: &Arc<TargetEntry>| !self.retry_after(&target.id, now).is_zero();
 
         if self.targets.is_empty() || !targets.iter().any(rests) {
             return targets.clone();
@@ -193,7 +193,7 @@
 
     /// Gets those of a service's targets that a request may be sent to: those that take requests, and those that may be
     /// tried. A request that was refused once is no trial again while others take requests, as callers have few tries.
-    pub fn to_send_to<'a>(
+    pub fn eligible<'a>(
         &self,
         targets: Vec<&'a Arc<TargetEntry>>,
         is_first_try: bool,
@@ -223,7 +223,7 @@
 
     /// Notes that a target has started again. Its refusals are those of the earlier start; its rest stays, as the list
     /// lags and the next start may have asked for it already.
-    pub fn restarted(&mut self, target: &str) {
+    pub fn record_restart(&mut self, target: &str) {
         if let Some(known) = self.targets.get_mut(target) {
             known.pauses = 0;
             known.pause_until = Moment::ZERO;
@@ -233,12 +233,12 @@
 
     /// Notes that a service that was out is back: what its targets refused meanwhile says nothing any more, but for the
     /// rest that they asked for.
-    pub fn reopened(&mut self, service: &str, now: Moment) {
-        self.targets.retain(|_, known| known.service != service || known.rest.holds(now));
+    pub fn record_recovery(&mut self, service: &str, now: Moment) {
+        self.targets.retain(|_, known| known.service != service || known.rest.is_active(now));
     }
 
     /// Forgets targets that refused long ago.
-    pub fn forget_old(&mut self, now: Moment) {
+    pub fn remove_expired(&mut self, now: Moment) {
         let last = |known: &Refusing| known.rest.until().max(known.pause_until);
 
         self.targets.retain(|_, known| now < last(known) + MEMORY);
--- a/grebedeck-gateway/src/retry.rs
+++ b/grebedeck-gateway/src/retry.rs
@@ -13,7 +13,7 @@
 
 /// Settings of a budget.
 #[derive(Clone, Copy, Debug)]
-pub struct WindowOptions {
+pub struct WindowedRetryOptions {
     /// Length of the window.
     pub window: Duration,
     /// Repeats for each request in the window.
@@ -31,38 +31,38 @@
 
 /// A budget.
 #[derive(Clone, Debug)]
-pub struct WindowBudget {
-    options: WindowOptions,
+pub struct WindowedRetryBudget {
+    options: WindowedRetryOptions,
     slots: VecDeque<Slot>,
 }
 
-impl WindowOptions {
+impl WindowedRetryOptions {
     /// Gets one gateway's part of what `gateways` of them may do together. Each counts its own requests, so
     /// only the allowance is divided: by `least` at the least, as some may not be known yet.
-    pub fn part_of(self, gateways: usize, least: f64) -> Self {
-        WindowOptions { allowance: self.allowance / least.max(gateways as f64), ..self }
+    pub fn share_of(self, gateways: usize, least: f64) -> Self {
+        WindowedRetryOptions { allowance: self.allowance / least.max(gateways as f64), ..self }
     }
 }
 
-impl WindowBudget {
+impl WindowedRetryBudget {
     /// Makes a budget that nothing was taken of.
-    pub fn new(options: WindowOptions) -> Self {
-        WindowBudget { options, slots: VecDeque::new() }
+    pub fn new(options: WindowedRetryOptions) -> Self {
+        WindowedRetryBudget { options, slots: VecDeque::new() }
     }
 
     /// Puts other settings in force, such as a smaller part of the allowance as gateways are added. What was
     /// counted stays.
-    pub fn set_options(&mut self, options: WindowOptions) {
+    pub fn set_options(&mut self, options: WindowedRetryOptions) {
         self.options = options;
     }
 
     /// Notes a first attempt.
-    pub fn earn(&mut self, now: Moment) {
+    pub fn record_request(&mut self, now: Moment) {
         self.slot(now).requests += 1;
     }
 
     /// Takes one repeat, where the window has one left.
-    pub fn take(&mut self, now: Moment) -> bool {
+    pub fn try_acquire(&mut self, now: Moment) -> bool {
         // A slot that is partly outside counts whole for repeats and not at all for requests: counted for both, the
         // window of requests is longer than the one in which repeats are compared with them.
         let whole_from = now.saturating_sub(self.options.window);
--- a/grebedeck-gateway/src/targets.rs
+++ b/grebedeck-gateway/src/targets.rs
@@ -18,7 +18,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::evacuation::Evacuations;
-use crate::leaving::LeavingWords;
+use crate::leaving::LeavingNotices;
 use crate::source::{StoreVersion, TargetChange};
 
 /// Id of a target; where targets tell the time of their start, the next start may have it again.
@@ -126,9 +126,9 @@
     /// It takes no new work from now on, by the list.
     Leaving(TargetId),
     /// It takes no new work from now on, by its own word.
-    SaysLeaving(TargetId),
+    AnnouncedLeaving(TargetId),
     /// It is gone.
-    Gone(TargetId),
+    Removed(TargetId),
     /// The list has lost it while the store was not itself; it is kept for a while.
     Lapsed(TargetId),
     /// Its entry cannot be read, so it gets no new work; told once until a good one comes.
@@ -175,7 +175,7 @@
     returned_at: Option<Moment>,
     evacuations: Evacuations,
     /// Targets that said in an answer that they leave, whatever the list says.
-    leaving: LeavingWords,
+    leaving: LeavingNotices,
     /// When the list, or changes of it, were taken in last, and the time before that.
     taken_at: (Moment, Moment),
     /// Services all of whose targets stand in evacuated halls.
@@ -186,7 +186,7 @@
 
 impl TargetList {
     /// Takes in a whole list; gives what changed.
-    pub fn take_snapshot(
+    pub fn apply_snapshot(
         &mut self,
         version: StoreVersion,
         listing: impl Into<TargetListing>,
@@ -223,7 +223,7 @@
     }
 
     /// Takes in changes in their order; gives what changed.
-    pub fn take_changes(
+    pub fn apply_changes(
         &mut self,
         version: StoreVersion,
         changes: Vec<TargetChange>,
@@ -251,23 +251,23 @@
     }
 
     /// Notes that a target says in an answer that it leaves; gives what changed.
-    pub fn note_leaving(&mut self, target: &TargetEntry, now: Moment) -> Vec<ListEvent> {
-        if !self.leaving.note(target, now) {
+    pub fn record_leaving(&mut self, target: &TargetEntry, now: Moment) -> Vec<ListEvent> {
+        if !self.leaving.record(target, now) {
             return Vec::new();
         }
 
         self.indexed_at = now;
         self.index();
-        vec![ListEvent::SaysLeaving(target.id.clone())]
+        vec![ListEvent::AnnouncedLeaving(target.id.clone())]
     }
 
     /// Notes that the store did not answer, or not as it should.
-    pub fn store_failed(&mut self) {
+    pub fn record_store_failure(&mut self) {
         self.is_store_failing = true;
     }
 
     /// Changes what is known of evacuated halls.
-    pub fn change_evacuations<T>(
+    pub fn update_evacuations<T>(
         &mut self,
         change: impl FnOnce(&mut Evacuations) -> T,
         now: Moment,
@@ -281,12 +281,12 @@
 
     /// Tells whether the lists of targets that take work stand for a moment that is longer ago than that, and evacuated
     /// halls have changed them since.
-    pub fn is_index_older(&self, age: Duration, now: Moment) -> bool {
+    pub fn is_index_stale(&self, age: Duration, now: Moment) -> bool {
         now > self.indexed_at + age && self.evacuations.moves_between(self.indexed_at, now)
     }
 
     /// Notes that all words on halls up to a version are known.
-    pub fn know_halls_up_to(&mut self, version: StoreVersion) {
+    pub fn advance_halls_version(&mut self, version: StoreVersion) {
         self.evacuations.known_up_to(version);
     }
 
@@ -316,7 +316,7 @@
             self.known.iter().filter(|(_, k)| is_over(k)).map(|(id, _)| id.clone()).collect();
 
         let since = std::mem::replace(&mut self.indexed_at, now);
-        let some_stay = self.leaving.forget_doubtful(now);
+        let some_stay = self.leaving.remove_expired(now);
 
         if over.is_empty() && !some_stay && !self.evacuations.moves_between(since, now) {
             return Vec::new();
@@ -327,7 +327,7 @@
         }
 
         self.index();
-        over.into_iter().map(ListEvent::Gone).collect()
+        over.into_iter().map(ListEvent::Removed).collect()
     }
 
     /// Takes a start of a target for gone, as another one has answered at its address. Of the next start, which
@@ -347,7 +347,7 @@
     }
 
     /// Takes the targets whose entries were written anew since this was done last.
-    pub fn take_heard(&mut self) -> Vec<Arc<TargetEntry>> {
+    pub fn take_updated(&mut self) -> Vec<Arc<TargetEntry>> {
         std::mem::take(&mut self.heard)
     }
 
@@ -359,7 +359,7 @@
     }
 
     /// Sets whose subset of each service's targets [`TargetList::candidates`] gives.
-    pub fn set_view(&mut self, view: SubsetView) {
+    pub fn set_subset_view(&mut self, view: SubsetView) {
         self.view = Some(view);
         self.index();
     }
@@ -386,8 +386,8 @@
     }
 
     /// Tells whether a start of a target said in an answer that it leaves.
-    pub fn says_leaving(&self, target: &TargetEntry) -> bool {
-        self.leaving.has(target, self.indexed_at)
+    pub fn has_announced_leaving(&self, target: &TargetEntry) -> bool {
+        self.leaving.contains(target, self.indexed_at)
     }
 
     /// Gets the target that has an address now.
@@ -447,7 +447,7 @@
 
         if before.is_none_or(|k| !k.entry.is_same_start(&entry)) {
             let (now, before) = self.taken_at;
-            self.leaving.note_start(&entry, before, now);
+            self.leaving.record_start(&entry, before, now);
         }
 
         let was_leaving =
@@ -527,7 +527,7 @@
             }
             _ => {
                 self.known.remove(id);
-                Some(ListEvent::Gone(id.to_string()))
+                Some(ListEvent::Removed(id.to_string()))
             }
         }
     }
@@ -560,8 +560,8 @@
             // Of two targets at one address, the one that was heard of last has replaced the other.
             let is_newest = newest.get(&known.entry.address) == Some(&known.version);
 
-            let is_leaving =
-                known.entry.state != TargetState::Serving || self.says_leaving(&known.entry);
+            let is_leaving = known.entry.state != TargetState::Serving
+                || self.has_announced_leaving(&known.entry);
 
             if is_leaving || !is_newest {
                 continue;
--- a/grebedeck-gateway/tests/cold.rs
+++ b/grebedeck-gateway/tests/cold.rs
@@ -7,7 +7,7 @@
 use grebedeck_core::RandomSource;
 use grebedeck_core::random::SeededSource;
 use grebedeck_gateway::cold::{COLD_BURST, COLD_OVERAGE};
-use grebedeck_gateway::{ColdGate, ColdPart};
+use grebedeck_gateway::{ColdLimiter, ColdShare};
 use proptest::prelude::*;
 
 const MS: fn(u64) -> Duration = Duration::from_millis;
@@ -30,20 +30,20 @@
 }
 
 /// Makes a gateway that has read a list.
-fn gate(number: usize, list: &BTreeSet<SocketAddr>) -> ColdGate {
-    let mut gate = ColdGate::default();
+fn gate(number: usize, list: &BTreeSet<SocketAddr>) -> ColdLimiter {
+    let mut gate = ColdLimiter::default();
     gate.set_gateways(address(number), list, MS(0));
     gate
 }
 
 /// Has gateways send as much as they may, at times of their own, and gives when each target got a request.
-fn play(gates: &mut [ColdGate], cold_per_s: f64, seed: u64) -> Vec<Vec<u64>> {
+fn play(gates: &mut [ColdLimiter], cold_per_s: f64, seed: u64) -> Vec<Vec<u64>> {
     let mut random = SeededSource::new(seed);
     let mut arrivals = vec![Vec::new(); TARGETS];
 
     for gate in gates.iter_mut() {
         for number in 0..TARGETS {
-            gate.note_word(&target(number), MS(COLD_MS), MS(FROM_MS));
+            gate.record_report(&target(number), MS(COLD_MS), MS(FROM_MS));
         }
     }
 
@@ -52,7 +52,7 @@
             let number = random.below(TARGETS);
 
             // Half of what comes in is refused elsewhere, so that parts are saved up.
-            if random.below(100) < 60 && gate.take(&target(number), cold_per_s, MS(at_ms)) {
+            if random.below(100) < 60 && gate.try_acquire(&target(number), cold_per_s, MS(at_ms)) {
                 arrivals[number].push(at_ms);
             }
         }
@@ -157,23 +157,24 @@
 #[test]
 fn gateways_that_start_at_once_stay_below_the_bound() {
     for cold_per_s in RATES {
-        let mut gates: Vec<ColdGate> =
+        let mut gates: Vec<ColdLimiter> =
             (0..53).map(|number| gate(number, &addresses(0..0))).collect();
 
         for (number, gate) in gates.iter_mut().enumerate() {
             gate.set_gateways(address(number), &addresses(0..=number), MS(FROM_MS));
-            gate.note_word(&target(0), MS(60_000), MS(FROM_MS));
+            gate.record_report(&target(0), MS(60_000), MS(FROM_MS));
         }
 
-        let is_owner = |g: &mut ColdGate| g.may_send(&target(0), cold_per_s, MS(FROM_MS + 14_900));
+        let is_owner =
+            |g: &mut ColdLimiter| g.may_send(&target(0), cold_per_s, MS(FROM_MS + 14_900));
         assert!(!gates.iter_mut().any(is_owner), "an owner before the others know of it");
     }
 }
 
 #[test]
 fn a_gateway_that_has_not_read_the_list_sends_nothing_to_a_cold_target() {
-    let mut gate = ColdGate::default();
-    gate.note_word("a", MS(1000), MS(0));
+    let mut gate = ColdLimiter::default();
+    gate.record_report("a", MS(1000), MS(0));
 
     assert!(!gate.may_send("a", 100.0, MS(900)));
     assert!(gate.may_send("b", 100.0, MS(900)), "another target is not cold");
@@ -183,7 +184,7 @@
 #[test]
 fn a_new_gateway_waits_until_the_others_know_it() {
     let list = addresses(0..2);
-    let mut gate = ColdGate::default();
+    let mut gate = ColdLimiter::default();
     gate.set_gateways(address(0), &addresses(1..2), MS(0));
     gate.set_gateways(address(0), &list, MS(1000));
     gate.set_cold_until("a", MS(60_000), MS(0));
@@ -197,28 +198,28 @@
 fn a_gateway_that_is_taken_out_of_the_list_is_no_owner() {
     let mut gate = gate(0, &addresses(0..2));
     gate.set_gateways(address(0), &addresses(1..2), MS(10));
-    gate.note_word("a", MS(9000), MS(20));
+    gate.record_report("a", MS(9000), MS(20));
 
     assert!(!gate.may_send("a", 100.0, MS(3000)));
 }
 
 #[test]
 fn without_a_bound_a_cold_target_is_sent_to_by_all() {
-    let mut gate = ColdGate::default();
-    gate.note_word("a", MS(1000), MS(0));
+    let mut gate = ColdLimiter::default();
+    gate.record_report("a", MS(1000), MS(0));
 
-    assert_eq!(ColdPart::of(0.0), None);
-    assert!((0..50).all(|_| gate.take("a", 0.0, MS(10))));
+    assert_eq!(ColdShare::from_rate(0.0), None);
+    assert!((0..50).all(|_| gate.try_acquire("a", 0.0, MS(10))));
 }
 
 #[test]
 fn a_targets_own_word_outweighs_what_was_taken_for_so() {
-    let mut gate = ColdGate::default();
+    let mut gate = ColdLimiter::default();
     gate.set_cold_until("a", MS(5000), MS(0));
-    gate.note_word("a", MS(0), MS(100));
+    gate.record_report("a", MS(0), MS(100));
     assert!(!gate.is_cold("a", MS(100)));
 
-    gate.note_word("a", MS(300), MS(200));
+    gate.record_report("a", MS(300), MS(200));
     gate.set_cold_until("a", MS(400), MS(210));
     assert_eq!(gate.remaining("a", MS(200)), MS(300), "it is cold until its own word says");
 }
@@ -227,17 +228,17 @@
 #[test]
 fn a_part_is_not_given_twice_in_one_second() {
     let mut gate = gate(0, &addresses(0..1));
-    let part = ColdPart::of(26.0).expect("a bound");
+    let part = ColdShare::from_rate(26.0).expect("a bound");
     let mut sent = 0;
 
     for at_ms in 0..1000 {
-        gate.note_word("a", if at_ms % 2 == 0 { MS(500) } else { MS(0) }, MS(at_ms));
+        gate.record_report("a", if at_ms % 2 == 0 { MS(500) } else { MS(0) }, MS(at_ms));
 
-        if gate.is_cold("a", MS(at_ms)) && gate.take("a", 26.0, MS(at_ms)) {
+        if gate.is_cold("a", MS(at_ms)) && gate.try_acquire("a", 26.0, MS(at_ms)) {
             sent += 1;
         }
 
-        gate.forget_warm(MS(at_ms));
+        gate.remove_expired(MS(at_ms));
     }
 
     assert!(f64::from(sent) <= part.per_s + 1.0, "{sent}");
@@ -246,7 +247,7 @@
 proptest! {
     #[test]
     fn the_parts_of_all_owners_are_half_of_what_a_target_may_get(cold_per_s in 0.01..5000.0f64) {
-        let part = ColdPart::of(cold_per_s).expect("a bound");
+        let part = ColdShare::from_rate(cold_per_s).expect("a bound");
         let all = f64::from(part.owners) * (1.0 + part.per_s);
 
         prop_assert!(part.per_s > 0.0);
--- a/grebedeck-gateway/tests/decisions.rs
+++ b/grebedeck-gateway/tests/decisions.rs
@@ -2,11 +2,11 @@
 
 use std::time::Duration;
 
-use grebedeck_gateway::answer::{give_up_status, may_send_again};
+use grebedeck_gateway::answer::{give_up_status, may_retry};
 use grebedeck_gateway::wire::TargetLoad;
 use grebedeck_gateway::{
-    Availability, EventBuffer, Kind, Outage, OutageOptions, Pacing, PacingOptions, Patience,
-    PatienceOptions, RunState, Verdict, WindowBudget, WindowOptions, judge,
+    Availability, EventBuffer, Kind, Outage, OutageOptions, Pacing, PacingOptions, RunState,
+    Verdict, WaitLimit, WaitLimitOptions, WindowedRetryBudget, WindowedRetryOptions, judge,
 };
 use proptest::prelude::*;
 
@@ -46,7 +46,7 @@
 
         prop_assert_eq!(ids, (0..texts.len() as u64).map(Some).collect::<Vec<_>>());
         prop_assert_eq!(bytes, stream.as_bytes());
-        prop_assert!(buffer.rest().is_empty());
+        prop_assert!(buffer.remainder().is_empty());
     }
 }
 
@@ -56,20 +56,21 @@
     buffer.push(b"id: 4\ndata: x\n");
 
     assert_eq!(buffer.next_event(), None);
-    assert_eq!(buffer.rest(), b"id: 4\ndata: x\n");
+    assert_eq!(buffer.remainder(), b"id: 4\ndata: x\n");
 }
 
-fn budget() -> WindowBudget {
-    let options = WindowOptions { window: Duration::from_secs(10), ratio: 0.2, allowance: 3.0 };
+fn budget() -> WindowedRetryBudget {
+    let options =
+        WindowedRetryOptions { window: Duration::from_secs(10), ratio: 0.2, allowance: 3.0 };
 
-    WindowBudget::new(options)
+    WindowedRetryBudget::new(options)
 }
 
 #[test]
 fn repeats_follow_the_requests_of_the_window() {
     let mut budget = budget();
-    (0..100).for_each(|_| budget.earn(MS(1000)));
-    let taken = (0..100).filter(|_| budget.take(MS(2000))).count();
+    (0..100).for_each(|_| budget.record_request(MS(1000)));
+    let taken = (0..100).filter(|_| budget.try_acquire(MS(2000))).count();
 
     assert_eq!(taken, 23);
 }
@@ -79,12 +80,13 @@
 #[test]
 fn however_many_gateways_there_are_they_share_one_allowance() {
     for gateways in [1, 4, 12, 40, 100] {
-        let all = WindowOptions { window: Duration::from_secs(10), ratio: 0.2, allowance: 200.0 };
+        let all =
+            WindowedRetryOptions { window: Duration::from_secs(10), ratio: 0.2, allowance: 200.0 };
         let take = |_| {
-            let mut budget = WindowBudget::new(all);
+            let mut budget = WindowedRetryBudget::new(all);
             // Few gateways are known at first.
-            budget.set_options(all.part_of(gateways, 12.0));
-            (0..1000).filter(|_| budget.take(MS(1000))).count()
+            budget.set_options(all.share_of(gateways, 12.0));
+            (0..1000).filter(|_| budget.try_acquire(MS(1000))).count()
         };
         let taken: usize = (0..gateways).map(take).sum();
 
@@ -102,10 +104,10 @@
 
         // Requests come in bursts, and repeats are wanted all the time.
         if tick % 400 < 40 {
-            budget.earn(now);
+            budget.record_request(now);
         }
 
-        if budget.take(now) {
+        if budget.try_acquire(now) {
             taken.push(now);
         }
     }
@@ -128,10 +130,10 @@
 
     for tick in 0..6000u64 {
         let now = MS(tick * 10);
-        budget.earn(now);
+        budget.record_request(now);
 
         // For a second in each fifteen all requests want repeats.
-        while tick % 1500 > 1400 && budget.take(now) {
+        while tick % 1500 > 1400 && budget.try_acquire(now) {
             taken.push(now);
         }
     }
@@ -145,11 +147,11 @@
 
 fn outage() -> Outage {
     let options = OutageOptions {
-        failures: 3,
-        expected: MS(2000),
-        overdue: MS(900),
-        word_lifetime: MS(500),
-        trial_pause: MS(50),
+        failure_threshold: 3,
+        expected_duration: MS(2000),
+        overdue_estimate: MS(900),
+        report_lifetime: MS(500),
+        probe_interval: MS(50),
     };
 
     Outage::new(options, MS(0))
@@ -158,14 +160,14 @@
 #[test]
 fn a_service_is_out_after_failures_in_a_row_and_back_with_the_first_success() {
     let mut outage = outage();
-    outage.succeeded(MS(1000));
-    assert!(!outage.failed(MS(1050)));
-    assert!(!outage.failed(MS(1060)));
+    outage.record_success(MS(1000));
+    assert!(!outage.record_failure(MS(1050)));
+    assert!(!outage.record_failure(MS(1060)));
     assert_eq!(outage.availability(MS(1100)), Availability::Up);
-    assert!(outage.failed(MS(1070)), "the third in a row");
+    assert!(outage.record_failure(MS(1070)), "the third in a row");
     assert_eq!(outage.availability(MS(1500)), Availability::Out(MS(1500)));
     assert_eq!(outage.availability(MS(3500)), Availability::Out(MS(900)), "overdue");
-    assert!(outage.succeeded(MS(3600)));
+    assert!(outage.record_success(MS(3600)));
     assert_eq!(outage.availability(MS(3600)), Availability::Up);
 }
 
@@ -174,9 +176,9 @@
     let mut outage = outage();
 
     for at in 0..100 {
-        outage.failed(MS(at));
-        outage.failed(MS(at));
-        outage.succeeded(MS(at));
+        outage.record_failure(MS(at));
+        outage.record_failure(MS(at));
+        outage.record_success(MS(at));
     }
 
     assert_eq!(outage.availability(MS(200)), Availability::Up);
@@ -187,26 +189,26 @@
 #[test]
 fn failures_of_single_targets_are_no_outage_of_an_open_group() {
     let mut outage = outage();
-    outage.opened(7, 1, MS(1000));
-    (1100..1200).for_each(|at| assert!(!outage.failed(MS(at))));
+    outage.record_open(7, 1, MS(1000));
+    (1100..1200).for_each(|at| assert!(!outage.record_failure(MS(at))));
     assert_eq!(outage.availability(MS(1200)), Availability::Up);
 
     // A group whose ranks lost power says that it is open for a while longer.
-    assert!(!outage.refused());
-    assert!(!outage.refused());
-    assert!(outage.refused(), "the third refusal in a row");
-    assert!(outage.opened(7, 1, MS(1200)));
+    assert!(!outage.record_refusal());
+    assert!(!outage.record_refusal());
+    assert!(outage.record_refusal(), "the third refusal in a row");
+    assert!(outage.record_open(7, 1, MS(1200)));
 
-    assert!(outage.closed(7, 1, MS(1250)), "its own word that it is closed counts at once");
+    assert!(outage.record_closed(7, 1, MS(1250)), "its own word that it is closed counts at once");
     assert!(matches!(outage.availability(MS(1200)), Availability::Out(_)));
-    assert!(outage.opened(7, 1, MS(1300)));
+    assert!(outage.record_open(7, 1, MS(1300)));
     assert_eq!(outage.availability(MS(1300)), Availability::Up);
 }
 
 #[test]
 fn trials_are_made_one_at_a_time() {
     let mut outage = outage();
-    let trials = (0..1000).filter(|at| outage.take_trial(MS(*at))).count();
+    let trials = (0..1000).filter(|at| outage.try_probe(MS(*at))).count();
 
     assert_eq!(trials, 20);
 }
@@ -217,9 +219,9 @@
     assert_eq!(pacing.allowed_load(1.0, 1.0, 2.0, MS(0)), 2.0, "nothing was seen");
 
     // A pass of 30 ms and 90 ms for the requests; what is aimed at leaves less for them.
-    (0..500).for_each(|at| pacing.note_pause(MS(120), MS(at)));
+    (0..500).for_each(|at| pacing.record_pause(MS(120), MS(at)));
     let allowed = pacing.allowed_load(0.9, 1.0, 1.0, MS(500));
-    let aimed_at = 0.9 * (pacing.aim() - MS(30)).as_secs_f64() / MS(90).as_secs_f64();
+    let aimed_at = 0.9 * (pacing.desired_pause() - MS(30)).as_secs_f64() / MS(90).as_secs_f64();
     assert!((allowed - aimed_at).abs() < 0.01, "{allowed} {aimed_at}");
     assert!((0.5..0.9).contains(&allowed), "{allowed}");
 
@@ -234,8 +236,8 @@
     let aim = |off_ms: u64| {
         let mut pacing = Pacing::new(PacingOptions::new(MS(30), MS(120)));
         let pause = |at: u64| if at.is_multiple_of(2) { MS(70 - off_ms) } else { MS(70 + off_ms) };
-        (0..10_000).for_each(|at| pacing.note_pause(pause(at), MS(at)));
-        pacing.aim()
+        (0..10_000).for_each(|at| pacing.record_pause(pause(at), MS(at)));
+        pacing.desired_pause()
     };
 
     assert!(aim(0) > MS(118), "{:?}", aim(0));
@@ -246,23 +248,31 @@
 
 #[test]
 fn a_request_waits_no_longer_than_it_can_and_still_come_in_time() {
-    let mut patience = Patience::new(PatienceOptions::default());
-    assert_eq!(patience.wait(MS(500)), MS(500), "nothing was seen");
+    let mut patience = WaitLimit::new(WaitLimitOptions::default());
+    assert_eq!(patience.max_wait(MS(500)), MS(500), "nothing was seen");
 
-    (0..1000).for_each(|_| patience.note_answer(MS(180)));
-    assert!(patience.wait(MS(500)).abs_diff(MS(320)) < MS(2), "{:?}", patience.wait(MS(500)));
+    (0..1000).for_each(|_| patience.record_answer(MS(180)));
+    assert!(
+        patience.max_wait(MS(500)).abs_diff(MS(320)) < MS(2),
+        "{:?}",
+        patience.max_wait(MS(500))
+    );
 
     let took = |at: u64| if at.is_multiple_of(2) { MS(130) } else { MS(230) };
-    (0..1000).for_each(|at| patience.note_answer(took(at)));
-    assert!(patience.wait(MS(500)).abs_diff(MS(220)) < MS(5), "{:?}", patience.wait(MS(500)));
+    (0..1000).for_each(|at| patience.record_answer(took(at)));
+    assert!(
+        patience.max_wait(MS(500)).abs_diff(MS(220)) < MS(5),
+        "{:?}",
+        patience.max_wait(MS(500))
+    );
     // Nothing comes in time; a place that is free the next moment is waited for all the same.
-    assert_eq!(patience.wait(MS(150)), PatienceOptions::default().least);
+    assert_eq!(patience.max_wait(MS(150)), WaitLimitOptions::default().min_wait);
 }
 
 #[test]
 fn a_group_that_is_slow_takes_some_requests_all_the_same() {
     let mut pacing = Pacing::new(PacingOptions::new(MS(30), MS(125)));
-    pacing.note_pause(MS(5000), MS(1));
+    pacing.record_pause(MS(5000), MS(1));
 
     assert!(pacing.allowed_load(0.5, 1.0, 1.0, MS(2)) >= 0.3);
 }
@@ -271,24 +281,24 @@
 #[test]
 fn no_trials_are_made_while_the_group_says_that_it_is_closed() {
     let mut outage = outage();
-    assert!(outage.closed(7, 1, MS(1000)));
-    assert!(!outage.take_trial(MS(1499)));
-    assert!(outage.take_trial(MS(1500)), "its word is old");
-
-    assert!(!outage.closed(7, 1, MS(1600)), "it was out before");
-    assert!(!outage.take_trial(MS(1700)));
-    assert!(outage.opened(7, 2, MS(1800)));
-    assert!(!outage.closed(7, 1, MS(1900)), "a rank that has not noticed the new formation");
+    assert!(outage.record_closed(7, 1, MS(1000)));
+    assert!(!outage.try_probe(MS(1499)));
+    assert!(outage.try_probe(MS(1500)), "its word is old");
+
+    assert!(!outage.record_closed(7, 1, MS(1600)), "it was out before");
+    assert!(!outage.try_probe(MS(1700)));
+    assert!(outage.record_open(7, 2, MS(1800)));
+    assert!(!outage.record_closed(7, 1, MS(1900)), "a rank that has not noticed the new formation");
     assert_eq!(outage.availability(MS(1900)), Availability::Up);
-    assert!(outage.closed(7, 2, MS(2000)), "the new formation broke");
-    assert!(outage.opened(7, 1, MS(2600)), "a group that counts its formations anew");
+    assert!(outage.record_closed(7, 2, MS(2000)), "the new formation broke");
+    assert!(outage.record_open(7, 1, MS(2600)), "a group that counts its formations anew");
 }
 
 #[test]
 fn an_outage_is_overdue_once_it_has_lasted_longer_than_expected() {
     let mut outage = outage();
     assert!(!outage.is_overdue(MS(60_000)), "it is not out");
-    assert!(outage.closed(7, 1, MS(1000)));
+    assert!(outage.record_closed(7, 1, MS(1000)));
 
     let Availability::Out(left) = outage.availability(MS(0)) else { panic!("it is out") };
     assert!(!outage.is_overdue(left - MS(1)));
@@ -299,21 +309,21 @@
 #[test]
 fn a_closed_group_is_no_outage_while_another_is_open() {
     let mut outage = outage();
-    outage.opened(7, 5, MS(1000));
-    assert!(!outage.closed(8, 1, MS(1010)), "the other one serves on");
+    outage.record_open(7, 5, MS(1000));
+    assert!(!outage.record_closed(8, 1, MS(1010)), "the other one serves on");
     assert_eq!(outage.availability(MS(1010)), Availability::Up);
     assert!(outage.is_closed(8, MS(1010)) && !outage.is_closed(7, MS(1010)));
     assert!(!outage.is_closed(8, MS(1600)), "its word is old");
 
-    assert!(outage.closed(7, 5, MS(1020)), "now none is open");
-    assert!(!outage.take_trial(MS(1030)));
-    assert!(outage.opened(8, 1, MS(1040)), "its formations are its own");
+    assert!(outage.record_closed(7, 5, MS(1020)), "now none is open");
+    assert!(!outage.try_probe(MS(1030)));
+    assert!(outage.record_open(8, 1, MS(1040)), "its formations are its own");
 }
 
 #[test]
 fn where_nothing_can_come_in_time_as_many_as_fit_are_taken() {
     let mut pacing = Pacing::new(PacingOptions::new(MS(30), MS(125)));
-    (0..500).for_each(|at| pacing.note_pause(MS(300), MS(at)));
+    (0..500).for_each(|at| pacing.record_pause(MS(300), MS(at)));
 
     // A rank that is ten times slower makes passes of 300 ms whatever the load is.
     assert_eq!(pacing.allowed_load(0.5, 10.0, 1.0, MS(500)), 1.0);
@@ -324,7 +334,7 @@
     // What does not end before its deadline has taken a place for nothing.
     let options = PacingOptions::new(MS(30), MS(125)).with_deadline(MS(8000), 12.0);
     let mut pacing = Pacing::new(options);
-    (0..500).for_each(|at| pacing.note_pause(MS(600), MS(at)));
+    (0..500).for_each(|at| pacing.record_pause(MS(600), MS(at)));
     let allowed = pacing.allowed_load(1.0, 8.0, 1.0, MS(500));
     // Passes of 240 ms are empty, and as many requests as make 93 more for streams of 24 events.
     assert!((allowed - 93.0 / 360.0).abs() < 0.05, "{allowed}");
@@ -351,10 +361,10 @@
         assert!(matches!(give_up_status(RunState::MayHaveRun, is_late), 502 | 504));
     }
 
-    assert!(!may_send_again(Kind::Once, RunState::MayHaveRun));
-    assert!(!may_send_again(Kind::Stream { is_resumable: false }, RunState::MayHaveRun));
-    assert!(may_send_again(Kind::Once, RunState::NotRun));
-    assert!(may_send_again(Kind::Safe, RunState::MayHaveRun));
+    assert!(!may_retry(Kind::Once, RunState::MayHaveRun));
+    assert!(!may_retry(Kind::Stream { is_resumable: false }, RunState::MayHaveRun));
+    assert!(may_retry(Kind::Once, RunState::NotRun));
+    assert!(may_retry(Kind::Safe, RunState::MayHaveRun));
 }
 
 #[test]
--- a/grebedeck-gateway/tests/evacuation.rs
+++ b/grebedeck-gateway/tests/evacuation.rs
@@ -226,7 +226,7 @@
         entry.address.set_port(100 + at as u16);
         ListedTarget { version: 1 + at as u64, entry }
     });
-    list.take_snapshot(50, listed.collect::<Vec<_>>(), MS(0));
+    list.apply_snapshot(50, listed.collect::<Vec<_>>(), MS(0));
     list
 }
 
@@ -239,7 +239,7 @@
     let mut list = list_of(&[("a", "north"), ("b", "south"), ("c", "north")]);
     let evacuate =
         |halls: &mut Evacuations| halls.take_snapshot(60, &named(&["north"]), None, MS(9));
-    list.change_evacuations(evacuate, MS(9));
+    list.update_evacuations(evacuate, MS(9));
 
     assert_eq!(serving(&list), ["b"]);
     assert!(!list.is_evacuated("plain"));
@@ -247,14 +247,14 @@
     assert!(list.get("a").is_some());
 
     let both = |halls: &mut Evacuations| halls.take_change(61, &"south".into(), true, MS(10));
-    list.change_evacuations(both, MS(10));
+    list.update_evacuations(both, MS(10));
     list.tick(MS(10) + DEFAULT_BOUND / 2);
     assert!(serving(&list).is_empty());
     assert!(list.is_evacuated("plain"));
     assert!(!list.is_evacuated("other"), "there is nothing to evacuate");
 
     let back = |halls: &mut Evacuations| halls.take_change(62, &"south".into(), false, MS(9000));
-    list.change_evacuations(back, MS(9000));
+    list.update_evacuations(back, MS(9000));
     list.tick(MS(9000) + DEFAULT_BOUND / 2);
     assert_eq!(serving(&list), ["b"]);
     assert!(!list.is_evacuated("plain"));
@@ -265,10 +265,10 @@
     let mut list = list_of(&[("a", "south")]);
     let evacuate =
         |halls: &mut Evacuations| halls.take_snapshot(60, &named(&["north"]), None, MS(9));
-    list.change_evacuations(evacuate, MS(9));
+    list.update_evacuations(evacuate, MS(9));
     let entry = target("new-one", "north");
     let new = grebedeck_gateway::TargetChange::Set(ListedTarget { version: 70, entry });
-    list.take_changes(70, vec![new], MS(20));
+    list.apply_changes(70, vec![new], MS(20));
 
     assert_eq!(serving(&list), ["a"]);
 }
@@ -277,13 +277,13 @@
 fn a_list_knows_when_it_is_to_be_made_anew() {
     let mut list = list_of(&[("a", "north")]);
     let evacuate = |halls: &mut Evacuations| halls.take_change(60, &"north".into(), true, MS(1000));
-    list.change_evacuations(evacuate, MS(1000));
+    list.update_evacuations(evacuate, MS(1000));
 
-    assert!(!list.is_index_older(MS(250), MS(1200)));
-    assert!(list.is_index_older(MS(250), MS(9000)), "a process that was frozen on the way");
+    assert!(!list.is_index_stale(MS(250), MS(1200)));
+    assert!(list.is_index_stale(MS(250), MS(9000)), "a process that was frozen on the way");
     list.tick(MS(9000));
     assert!(serving(&list).is_empty());
-    assert!(!list.is_index_older(MS(250), MS(99_000)));
+    assert!(!list.is_index_stale(MS(250), MS(99_000)));
 }
 
 /// What happens to one of some gateways.
--- a/grebedeck-gateway/tests/memory.rs
+++ b/grebedeck-gateway/tests/memory.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use grebedeck_gateway::memory::{Memory, SMALL_BYTES};
+use grebedeck_gateway::memory::{MemoryBudget, SMALL_BYTES};
 use grebedeck_gateway::reader::{Reader, Waiting};
 use proptest::prelude::*;
 
@@ -11,26 +11,26 @@
 
 #[test]
 fn large_holders_leave_room_for_small_ones() {
-    let mut memory = Memory::new(MAX_BYTES);
+    let mut memory = MemoryBudget::new(MAX_BYTES);
     let mut large = 0;
 
-    while memory.take(large, SMALL_BYTES) {
+    while memory.try_reserve(large, SMALL_BYTES) {
         large += SMALL_BYTES;
     }
 
     assert_eq!(large, MAX_BYTES / 4 * 3, "one holder alone");
-    assert!(!memory.take(0, SMALL_BYTES + 1), "another large one");
-    assert!(memory.take(0, SMALL_BYTES), "a small one");
-    memory.give_back(large);
-    assert!(memory.take(0, SMALL_BYTES + 1), "once the first is gone");
+    assert!(!memory.try_reserve(0, SMALL_BYTES + 1), "another large one");
+    assert!(memory.try_reserve(0, SMALL_BYTES), "a small one");
+    memory.release(large);
+    assert!(memory.try_reserve(0, SMALL_BYTES + 1), "once the first is gone");
 }
 
 #[test]
 fn what_never_fits_is_known_beforehand() {
-    let memory = Memory::new(MAX_BYTES);
+    let memory = MemoryBudget::new(MAX_BYTES);
 
-    assert!(memory.could_hold(MAX_BYTES / 2));
-    assert!(!memory.could_hold(MAX_BYTES));
+    assert!(memory.can_hold(MAX_BYTES / 2));
+    assert!(!memory.can_hold(MAX_BYTES));
 }
 
 proptest! {
@@ -40,22 +40,22 @@
     fn the_limit_holds_and_all_is_given_back(
         steps in proptest::collection::vec((0usize..40, 0usize..200_000), 1..300),
     ) {
-        let mut memory = Memory::new(MAX_BYTES);
+        let mut memory = MemoryBudget::new(MAX_BYTES);
         let mut held = [0; 40];
 
         for (holder, bytes) in steps {
-            if memory.take(held[holder], bytes) {
+            if memory.try_reserve(held[holder], bytes) {
                 held[holder] += bytes;
             } else {
-                memory.give_back(std::mem::take(&mut held[holder]));
+                memory.release(std::mem::take(&mut held[holder]));
             }
 
             prop_assert_eq!(memory.used_bytes(), held.iter().sum::<usize>());
             prop_assert!(memory.used_bytes() <= MAX_BYTES);
         }
 
-        prop_assert!(memory.most_bytes() <= MAX_BYTES);
-        held.into_iter().for_each(|bytes| memory.give_back(bytes));
+        prop_assert!(memory.peak_bytes() <= MAX_BYTES);
+        held.into_iter().for_each(|bytes| memory.release(bytes));
         prop_assert_eq!(memory.used_bytes(), 0);
     }
 }
--- a/grebedeck-gateway/tests/refusals.rs
+++ b/grebedeck-gateway/tests/refusals.rs
@@ -5,8 +5,10 @@
 
 use grebedeck_core::random::SeededSource;
 use grebedeck_core::{Moment, RandomSource};
-use grebedeck_gateway::refusals::{RefusalNews, Refusals};
-use grebedeck_gateway::rest::{MAX_REST, UNREADABLE_REST, asked_rest, parse_rest};
+use grebedeck_gateway::refusals::{RefusalEffect, Refusals};
+use grebedeck_gateway::rest::{
+    MAX_RETRY_AFTER, UNREADABLE_RETRY_AFTER, parse_retry_after, requested_retry_after,
+};
 use grebedeck_gateway::wire::{TargetLoad, says_leaving};
 use grebedeck_gateway::{TargetEntry, TargetState};
 use proptest::prelude::*;
@@ -36,8 +38,8 @@
 
 /// Gets the names of those that a request may be sent to.
 fn open(refusals: &Refusals, all: &[Arc<TargetEntry>], is_first: bool, ms: u64) -> Vec<String> {
-    let resting = refusals.without_resting(&all.to_vec().into(), at(ms));
-    let left = refusals.to_send_to(resting.iter().collect(), is_first, at(ms));
+    let resting = refusals.without_retry_after(&all.to_vec().into(), at(ms));
+    let left = refusals.eligible(resting.iter().collect(), is_first, at(ms));
 
     left.iter().map(|t| t.id.clone()).collect()
 }
@@ -46,16 +48,19 @@
 fn rest_ends_when_the_longest_word_says() {
     let all = targets(2);
     let mut refusals = Refusals::default();
-    assert_eq!(refusals.refused(&all[0], Some(MS * 3000), at(0)), RefusalNews::Rests);
-    assert_eq!(refusals.refused(&all[0], Some(MS * 500), at(100)), RefusalNews::None);
-    assert_eq!(refusals.refused(&all[0], None, at(200)), RefusalNews::None);
+    assert_eq!(
+        refusals.record_refusal(&all[0], Some(MS * 3000), at(0)),
+        RefusalEffect::RetryAfterRequested
+    );
+    assert_eq!(refusals.record_refusal(&all[0], Some(MS * 500), at(100)), RefusalEffect::None);
+    assert_eq!(refusals.record_refusal(&all[0], None, at(200)), RefusalEffect::None);
     // A request that was sent before the word is answered well.
-    assert!(!refusals.took(&all[0], at(300)));
+    assert!(!refusals.record_accepted(&all[0], at(300)));
 
     assert_eq!(open(&refusals, &all, true, 2999), ["t1"]);
-    assert_eq!(refusals.rest_left("t0", at(2000)), MS * 1000);
-    assert_eq!(refusals.all_rest(&all, at(2000)), None);
-    assert_eq!(refusals.all_rest(&all[..1], at(2000)), Some(MS * 1000));
+    assert_eq!(refusals.retry_after("t0", at(2000)), MS * 1000);
+    assert_eq!(refusals.min_retry_after(&all, at(2000)), None);
+    assert_eq!(refusals.min_retry_after(&all[..1], at(2000)), Some(MS * 1000));
     assert_eq!(open(&refusals, &all, true, 3000), ["t0", "t1"]);
 }
 
@@ -63,14 +68,14 @@
 fn after_its_rest_a_target_is_tried_by_one_request_until_it_takes_one() {
     let all = targets(2);
     let mut refusals = Refusals::default();
-    refusals.refused(&all[0], Some(MS * 1000), at(0));
-    assert!(refusals.sent(&all[0], at(1000)), "a trial");
+    refusals.record_refusal(&all[0], Some(MS * 1000), at(0));
+    assert!(refusals.record_sent(&all[0], at(1000)), "a trial");
     assert_eq!(open(&refusals, &all, true, 1001), ["t1"], "one at a time");
     // A trial whose caller left has no outcome.
     assert_eq!(open(&refusals, &all, true, 2000), ["t0", "t1"]);
 
-    assert!(refusals.took(&all[0], at(2001)));
-    assert!(!refusals.sent(&all[0], at(2002)));
+    assert!(refusals.record_accepted(&all[0], at(2001)));
+    assert!(!refusals.record_sent(&all[0], at(2002)));
     assert_eq!(open(&refusals, &all, true, 2003), ["t0", "t1"]);
 }
 
@@ -78,10 +83,10 @@
 fn a_trial_that_finds_a_full_target_may_be_made_again_at_once() {
     let all = targets(2);
     let mut refusals = Refusals::default();
-    refusals.refused(&all[0], Some(MS * 1000), at(0));
-    refusals.sent(&all[0], at(1000));
-    refusals.full("t0");
-    refusals.full("t1");
+    refusals.record_refusal(&all[0], Some(MS * 1000), at(0));
+    refusals.record_sent(&all[0], at(1000));
+    refusals.record_full("t0");
+    refusals.record_full("t1");
     assert_eq!(open(&refusals, &all, true, 1001), ["t0", "t1"]);
     assert_eq!(open(&refusals, &all, false, 1001), ["t1"], "it has taken nothing yet");
 }
@@ -93,26 +98,29 @@
     let mut now = 0;
 
     for pause_ms in [50, 100, 200, 400, 800, 1000, 1000] {
-        assert_eq!(refusals.refused(&all[0], None, at(now)), RefusalNews::Paused(MS * pause_ms));
-        assert_eq!(refusals.refused(&all[0], None, at(now + 1)), RefusalNews::None);
+        assert_eq!(
+            refusals.record_refusal(&all[0], None, at(now)),
+            RefusalEffect::BackedOff(MS * pause_ms)
+        );
+        assert_eq!(refusals.record_refusal(&all[0], None, at(now + 1)), RefusalEffect::None);
         assert!(open(&refusals, &all, true, now + u64::from(pause_ms) - 1).is_empty());
         now += u64::from(pause_ms);
         assert_eq!(open(&refusals, &all, true, now), ["t0"]);
     }
 
-    refusals.took(&all[0], at(now));
-    assert_eq!(refusals.refused(&all[0], None, at(now)), RefusalNews::Paused(MS * 50));
+    refusals.record_accepted(&all[0], at(now));
+    assert_eq!(refusals.record_refusal(&all[0], None, at(now)), RefusalEffect::BackedOff(MS * 50));
 }
 
 #[test]
 fn a_request_that_was_refused_once_is_no_trial_while_others_take_requests() {
     let all = targets(2);
     let mut refusals = Refusals::default();
-    refusals.refused(&all[0], None, at(0));
+    refusals.record_refusal(&all[0], None, at(0));
     assert_eq!(open(&refusals, &all, true, 100), ["t0", "t1"]);
     assert_eq!(open(&refusals, &all, false, 100), ["t1"]);
     // Where all refuse, there is nobody else to go to.
-    refusals.refused(&all[1], None, at(0));
+    refusals.record_refusal(&all[1], None, at(0));
     assert_eq!(open(&refusals, &all, false, 100), ["t0", "t1"]);
 }
 
@@ -120,10 +128,10 @@
 fn a_start_forgets_refusals_and_keeps_the_rest() {
     let all = targets(2);
     let mut refusals = Refusals::default();
-    refusals.refused(&all[0], Some(MS * 3000), at(0));
-    refusals.refused(&all[1], None, at(0));
-    refusals.restarted("t0");
-    refusals.restarted("t1");
+    refusals.record_refusal(&all[0], Some(MS * 3000), at(0));
+    refusals.record_refusal(&all[1], None, at(0));
+    refusals.record_restart("t0");
+    refusals.record_restart("t1");
     assert_eq!(open(&refusals, &all, false, 20), ["t1"]);
     assert_eq!(open(&refusals, &all, false, 3000), ["t0", "t1"], "without a trial");
 }
@@ -132,11 +140,11 @@
 fn a_group_that_opens_again_ends_pauses_and_not_rests() {
     let all = targets(2);
     let mut refusals = Refusals::default();
-    refusals.refused(&all[0], Some(MS * 3000), at(0));
-    refusals.refused(&all[1], None, at(0));
-    refusals.reopened("other", at(10));
+    refusals.record_refusal(&all[0], Some(MS * 3000), at(0));
+    refusals.record_refusal(&all[1], None, at(0));
+    refusals.record_recovery("other", at(10));
     assert!(open(&refusals, &all, false, 20).is_empty());
-    refusals.reopened("plain", at(10));
+    refusals.record_recovery("plain", at(10));
     assert_eq!(open(&refusals, &all, false, 20), ["t1"]);
 }
 
@@ -144,10 +152,10 @@
 fn what_was_not_tried_again_is_forgotten() {
     let all = targets(2);
     let mut refusals = Refusals::default();
-    refusals.refused(&all[0], Some(MS * 60_000), at(0));
-    refusals.forget_old(at(59_999));
+    refusals.record_refusal(&all[0], Some(MS * 60_000), at(0));
+    refusals.remove_expired(at(59_999));
     assert_eq!(open(&refusals, &all, false, 59_999), ["t1"]);
-    refusals.forget_old(at(90_000));
+    refusals.remove_expired(at(90_000));
     assert_eq!(open(&refusals, &all, false, 90_000), ["t0", "t1"]);
 }
 
@@ -156,22 +164,22 @@
     let readable = [("3", 3000), ("0.25", 250), (" 2 ", 2000), ("0", 0)];
 
     for (text, ms) in readable {
-        assert_eq!(parse_rest(text.as_bytes()), Duration::from_millis(ms), "{text}");
+        assert_eq!(parse_retry_after(text.as_bytes()), Duration::from_millis(ms), "{text}");
     }
 
     for text in ["soon", "", "-1", "nan", "1,5", "Wed, 21 Oct 2065 07:28:00 GMT"] {
-        assert_eq!(parse_rest(text.as_bytes()), UNREADABLE_REST, "{text}");
+        assert_eq!(parse_retry_after(text.as_bytes()), UNREADABLE_RETRY_AFTER, "{text}");
     }
 
-    assert_eq!(parse_rest(b"\xff"), UNREADABLE_REST);
+    assert_eq!(parse_retry_after(b"\xff"), UNREADABLE_RETRY_AFTER);
     let values = || [b"1".as_slice(), b"4", b"2"].into_iter();
-    assert_eq!(asked_rest(503, values()), Some(MS * 4000), "the longest of them");
-    assert_eq!(asked_rest(429, values()), Some(MS * 4000));
-    assert_eq!(asked_rest(301, values()), None, "it means another thing there");
-    assert_eq!(asked_rest(503, std::iter::empty()), None);
+    assert_eq!(requested_retry_after(503, values()), Some(MS * 4000), "the longest of them");
+    assert_eq!(requested_retry_after(429, values()), Some(MS * 4000));
+    assert_eq!(requested_retry_after(301, values()), None, "it means another thing there");
+    assert_eq!(requested_retry_after(503, std::iter::empty()), None);
 
     for text in ["301", "1e999", "inf", "99999999999999999999"] {
-        assert_eq!(parse_rest(text.as_bytes()), MAX_REST, "{text}");
+        assert_eq!(parse_retry_after(text.as_bytes()), MAX_RETRY_AFTER, "{text}");
     }
 }
 
@@ -232,18 +240,18 @@
             };
             played.repeats += u32::from(!tried.is_empty());
             tried.push(number);
-            refusals.sent(&all[number], at(now));
+            refusals.record_sent(&all[number], at(now));
             let rests = |since: Moment| {
                 at(now) > since + MS * 500 && asked.is_some_and(|rest| at(now) < since + rest)
             };
             played.at_rest += u32::from(asked_at[number].is_some_and(rests));
 
             if !refuses(number) {
-                refusals.took(&all[number], at(now));
+                refusals.record_accepted(&all[number], at(now));
                 break;
             }
 
-            refusals.refused(&all[number], asked, at(now));
+            refusals.record_refusal(&all[number], asked, at(now));
             let is_over = |since: Moment| at(now) >= since + asked.unwrap_or_default();
 
             if asked_at[number].is_none_or(is_over) {
@@ -297,14 +305,14 @@
 
             match what {
                 0 => {
-                    refusals.refused(&all[number], Some(asked), at(now));
+                    refusals.record_refusal(&all[number], Some(asked), at(now));
                     rest_until[number] = rest_until[number].max(at(now) + asked);
                 }
-                1 => drop(refusals.refused(&all[number], None, at(now))),
-                2 => drop(refusals.took(&all[number], at(now))),
-                3 => refusals.restarted(&all[number].id),
-                4 => refusals.reopened("plain", at(now)),
-                _ => refusals.forget_old(at(now)),
+                1 => drop(refusals.record_refusal(&all[number], None, at(now))),
+                2 => drop(refusals.record_accepted(&all[number], at(now))),
+                3 => refusals.record_restart(&all[number].id),
+                4 => refusals.record_recovery("plain", at(now)),
+                _ => refusals.remove_expired(at(now)),
             }
 
             for id in open(&refusals, &all, true, now) {
--- a/grebedeck-gateway/tests/targets.rs
+++ b/grebedeck-gateway/tests/targets.rs
@@ -51,8 +51,8 @@
 #[test]
 fn a_leaving_target_takes_no_new_work() {
     let mut list = TargetList::default();
-    list.take_snapshot(10, vec![listed(9, "a", 1), listed(10, "b", 2)], MS(0));
-    let events = list.take_changes(11, vec![leaving(11, "a", 1)], MS(10));
+    list.apply_snapshot(10, vec![listed(9, "a", 1), listed(10, "b", 2)], MS(0));
+    let events = list.apply_changes(11, vec![leaving(11, "a", 1)], MS(10));
 
     assert_eq!(events, [ListEvent::Leaving("a".into())]);
     assert_eq!(serving(&list), ["b"]);
@@ -62,9 +62,9 @@
 #[test]
 fn a_late_entry_does_not_bring_a_leaving_target_back() {
     let mut list = TargetList::default();
-    list.take_changes(12, vec![leaving(12, "a", 1)], MS(0));
+    list.apply_changes(12, vec![leaving(12, "a", 1)], MS(0));
     // A peer that is behind tells of the time before.
-    list.take_snapshot(12, vec![listed(8, "a", 1)], MS(1));
+    list.apply_snapshot(12, vec![listed(8, "a", 1)], MS(1));
 
     assert!(serving(&list).is_empty());
 }
@@ -72,8 +72,8 @@
 #[test]
 fn an_older_list_is_not_taken() {
     let mut list = TargetList::default();
-    list.take_snapshot(20, vec![listed(19, "a", 1)], MS(0));
-    list.take_snapshot(15, Vec::new(), MS(1));
+    list.apply_snapshot(20, vec![listed(19, "a", 1)], MS(0));
+    list.apply_snapshot(15, Vec::new(), MS(1));
 
     assert_eq!(serving(&list), ["a"]);
 }
@@ -81,25 +81,25 @@
 #[test]
 fn a_target_that_lapsed_while_the_store_was_away_is_kept_until_it_would_be_listed_again() {
     let mut list = TargetList::default();
-    list.take_snapshot(10, vec![listed(9, "a", 1), listed(10, "b", 2)], MS(0));
-    list.store_failed();
-    let events = list.take_snapshot(30, vec![listed(30, "b", 2)], MS(1500));
+    list.apply_snapshot(10, vec![listed(9, "a", 1), listed(10, "b", 2)], MS(0));
+    list.record_store_failure();
+    let events = list.apply_snapshot(30, vec![listed(30, "b", 2)], MS(1500));
 
     assert_eq!(events, [ListEvent::Lapsed("a".into())]);
     assert_eq!(serving(&list), ["a", "b"]);
     // Two seconds count from the store's return, not from the last call that failed.
     assert!(list.tick(MS(3499)).is_empty());
-    assert_eq!(list.tick(MS(3500)), [ListEvent::Gone("a".into())]);
+    assert_eq!(list.tick(MS(3500)), [ListEvent::Removed("a".into())]);
     assert_eq!(serving(&list), ["b"]);
 }
 
 #[test]
 fn a_lapsed_target_that_is_listed_again_stays() {
     let mut list = TargetList::default();
-    list.take_snapshot(10, vec![listed(10, "a", 1)], MS(0));
-    list.store_failed();
-    list.take_snapshot(30, Vec::new(), MS(1500));
-    list.take_changes(31, vec![TargetChange::Set(listed(31, "a", 1))], MS(2000));
+    list.apply_snapshot(10, vec![listed(10, "a", 1)], MS(0));
+    list.record_store_failure();
+    list.apply_snapshot(30, Vec::new(), MS(1500));
+    list.apply_changes(31, vec![TargetChange::Set(listed(31, "a", 1))], MS(2000));
 
     assert!(list.tick(MS(9000)).is_empty());
     assert_eq!(serving(&list), ["a"]);
@@ -108,10 +108,10 @@
 #[test]
 fn a_target_that_is_removed_while_the_store_is_well_is_gone_at_once() {
     let mut list = TargetList::default();
-    list.take_snapshot(10, vec![listed(10, "a", 1)], MS(0));
-    let events = list.take_changes(11, vec![removed(11, "a")], MS(10));
+    list.apply_snapshot(10, vec![listed(10, "a", 1)], MS(0));
+    let events = list.apply_changes(11, vec![removed(11, "a")], MS(10));
 
-    assert_eq!(events, [ListEvent::Gone("a".into())]);
+    assert_eq!(events, [ListEvent::Removed("a".into())]);
     assert!(serving(&list).is_empty());
 }
 
@@ -120,7 +120,7 @@
 #[test]
 fn of_two_targets_at_one_address_the_newest_is_used() {
     let mut list = TargetList::default();
-    list.take_snapshot(40, vec![listed(21, "old", 1), listed(38, "new", 1)], MS(0));
+    list.apply_snapshot(40, vec![listed(21, "old", 1), listed(38, "new", 1)], MS(0));
 
     assert_eq!(serving(&list), ["new"]);
 }
@@ -140,27 +140,27 @@
 fn a_target_that_starts_again_under_its_id_is_told_of() {
     let mut list = TargetList::default();
     let first = born(10, "a", 1, 500);
-    list.take_snapshot(10, vec![first.clone()], MS(0));
+    list.apply_snapshot(10, vec![first.clone()], MS(0));
     assert!(!list.is_earlier_start(&first.entry));
 
     let next = born(11, "a", 2, 900);
-    let events = list.take_changes(11, vec![TargetChange::Set(next.clone())], MS(10));
+    let events = list.apply_changes(11, vec![TargetChange::Set(next.clone())], MS(10));
 
     assert_eq!(events, [ListEvent::Restarted(Arc::new(next.entry.clone()))]);
     assert!(list.is_earlier_start(&first.entry));
     // The clock of its instance may go back: what was written later counts.
     let back = born(12, "a", 2, 300);
-    let events = list.take_changes(12, vec![TargetChange::Set(back.clone())], MS(20));
+    let events = list.apply_changes(12, vec![TargetChange::Set(back.clone())], MS(20));
     assert_eq!(events, [ListEvent::Restarted(Arc::new(back.entry))]);
 }
 
 #[test]
 fn a_start_that_leaves_at_once_is_both_new_and_leaving() {
     let mut list = TargetList::default();
-    list.take_snapshot(10, vec![born(10, "a", 1, 500)], MS(0));
+    list.apply_snapshot(10, vec![born(10, "a", 1, 500)], MS(0));
     let mut next = born(11, "a", 1, 900);
     next.entry.state = TargetState::Leaving;
-    let events = list.take_changes(11, vec![TargetChange::Set(next.clone())], MS(10));
+    let events = list.apply_changes(11, vec![TargetChange::Set(next.clone())], MS(10));
 
     assert_eq!(
         events,
@@ -174,8 +174,8 @@
 fn an_earlier_start_that_is_gone_does_not_take_the_next_one_along() {
     let mut list = TargetList::default();
     let first = born(10, "a", 1, 500);
-    list.take_snapshot(10, vec![first.clone()], MS(0));
-    list.take_changes(11, vec![TargetChange::Set(born(11, "a", 2, 900))], MS(10));
+    list.apply_snapshot(10, vec![first.clone()], MS(0));
+    list.apply_changes(11, vec![TargetChange::Set(born(11, "a", 2, 900))], MS(10));
     list.remove(&first.entry);
     assert_eq!(serving(&list), ["a"]);
 
@@ -189,29 +189,29 @@
     let unreadable = vec![("x".to_string(), 12, "no entry".to_string())];
     let listing =
         TargetListing { targets: vec![listed(10, "a", 1), listed(11, "b", 2)], unreadable };
-    let events = list.take_snapshot(12, listing.clone(), MS(0));
+    let events = list.apply_snapshot(12, listing.clone(), MS(0));
 
     assert_eq!(serving(&list), ["a", "b"]);
     assert_eq!(events.len(), 3);
-    assert!(list.take_snapshot(12, listing, MS(1)).is_empty(), "it is told once");
+    assert!(list.apply_snapshot(12, listing, MS(1)).is_empty(), "it is told once");
 }
 
 #[test]
 fn a_known_target_gets_no_new_work_until_a_good_entry_comes() {
     let mut list = TargetList::default();
-    list.take_snapshot(10, vec![listed(9, "a", 1), listed(10, "b", 2)], MS(0));
-    let events = list.take_changes(11, vec![unreadable(11, "a")], MS(10));
+    list.apply_snapshot(10, vec![listed(9, "a", 1), listed(10, "b", 2)], MS(0));
+    let events = list.apply_changes(11, vec![unreadable(11, "a")], MS(10));
     let told = ListEvent::Unreadable { id: "a".into(), reason: "no entry".into() };
     assert_eq!(events, [told]);
     assert_eq!(serving(&list), ["b"]);
     assert!(list.get("a").is_some(), "what runs there goes on");
 
-    assert!(list.take_changes(12, vec![unreadable(12, "a")], MS(20)).is_empty(), "told once");
+    assert!(list.apply_changes(12, vec![unreadable(12, "a")], MS(20)).is_empty(), "told once");
     // An older good one, such as a peer has that is behind, does not bring it back.
-    list.take_changes(12, vec![TargetChange::Set(listed(9, "a", 1))], MS(30));
+    list.apply_changes(12, vec![TargetChange::Set(listed(9, "a", 1))], MS(30));
     assert_eq!(serving(&list), ["b"]);
 
-    let events = list.take_changes(13, vec![TargetChange::Set(listed(13, "a", 1))], MS(40));
+    let events = list.apply_changes(13, vec![TargetChange::Set(listed(13, "a", 1))], MS(40));
     assert_eq!(events.len(), 1);
     assert_eq!(serving(&list), ["a", "b"]);
 }
@@ -219,11 +219,11 @@
 #[test]
 fn a_peer_hears_which_entries_cannot_be_read() {
     let mut list = TargetList::default();
-    list.take_snapshot(10, vec![listed(9, "a", 1), listed(10, "b", 2)], MS(0));
-    list.take_changes(11, vec![unreadable(11, "a"), unreadable(11, "x")], MS(10));
+    list.apply_snapshot(10, vec![listed(9, "a", 1), listed(10, "b", 2)], MS(0));
+    list.apply_changes(11, vec![unreadable(11, "a"), unreadable(11, "x")], MS(10));
     let mut peer = TargetList::default();
-    peer.take_snapshot(10, vec![listed(9, "a", 1), listed(10, "b", 2)], MS(0));
-    peer.take_snapshot(list.version(), list.listed(), MS(20));
+    peer.apply_snapshot(10, vec![listed(9, "a", 1), listed(10, "b", 2)], MS(0));
+    peer.apply_snapshot(list.version(), list.listed(), MS(20));
 
     assert_eq!(serving(&peer), ["b"]);
     assert_eq!(peer.listed(), list.listed());
@@ -232,11 +232,11 @@
 #[test]
 fn an_entry_that_cannot_be_read_and_goes_leaves_nothing() {
     let mut list = TargetList::default();
-    list.take_snapshot(10, vec![listed(9, "a", 1)], MS(0));
-    list.take_changes(12, vec![unreadable(11, "a"), unreadable(12, "x")], MS(10));
-    let events = list.take_changes(14, vec![removed(13, "a"), removed(14, "x")], MS(20));
+    list.apply_snapshot(10, vec![listed(9, "a", 1)], MS(0));
+    list.apply_changes(12, vec![unreadable(11, "a"), unreadable(12, "x")], MS(10));
+    let events = list.apply_changes(14, vec![removed(13, "a"), removed(14, "x")], MS(20));
 
-    assert_eq!(events, [ListEvent::Gone("a".into())]);
+    assert_eq!(events, [ListEvent::Removed("a".into())]);
     assert_eq!(list.listed(), TargetListing::default());
 }
 
@@ -245,33 +245,33 @@
 fn an_entry_of_another_writer_hides_no_target() {
     let mut list = TargetList::default();
     list.set_services(["plain".to_string()].into());
-    list.take_snapshot(10, vec![born(10, "a", 1, 500)], MS(0));
+    list.apply_snapshot(10, vec![born(10, "a", 1, 500)], MS(0));
     let mut other = listed(11, "x", 1);
     other.entry.service = "never-named".into();
-    list.take_changes(11, vec![TargetChange::Set(other)], MS(10));
+    list.apply_changes(11, vec![TargetChange::Set(other)], MS(10));
     assert_eq!(serving(&list), ["a"]);
     assert!(list.serving("never-named").is_none());
 
     // What cannot be read at the same address hides nothing, either.
-    list.take_changes(12, vec![TargetChange::Set(listed(12, "y", 1))], MS(20));
+    list.apply_changes(12, vec![TargetChange::Set(listed(12, "y", 1))], MS(20));
     assert_eq!(serving(&list), ["y"]);
-    list.take_changes(13, vec![unreadable(13, "y")], MS(30));
+    list.apply_changes(13, vec![unreadable(13, "y")], MS(30));
     assert_eq!(serving(&list), ["a"]);
 
-    list.take_changes(14, vec![TargetChange::Set(listed(14, "a", 1))], MS(40));
+    list.apply_changes(14, vec![TargetChange::Set(listed(14, "a", 1))], MS(40));
     assert!(serving(&list).is_empty(), "a target that tells its start always does");
 }
 
 #[test]
 fn what_entries_say_anew_is_handed_on_once() {
     let mut list = TargetList::default();
-    list.take_snapshot(10, vec![listed(9, "a", 1), listed(10, "b", 2)], MS(0));
-    assert_eq!(list.take_heard().len(), 2);
-    list.take_snapshot(11, vec![listed(9, "a", 1), listed(11, "b", 2)], MS(10));
-    let heard: Vec<String> = list.take_heard().iter().map(|t| t.id.clone()).collect();
+    list.apply_snapshot(10, vec![listed(9, "a", 1), listed(10, "b", 2)], MS(0));
+    assert_eq!(list.take_updated().len(), 2);
+    list.apply_snapshot(11, vec![listed(9, "a", 1), listed(11, "b", 2)], MS(10));
+    let heard: Vec<String> = list.take_updated().iter().map(|t| t.id.clone()).collect();
 
     assert_eq!(heard, ["b"], "the entry of the other is as old as before");
-    assert!(list.take_heard().is_empty());
+    assert!(list.take_updated().is_empty());
 }
 
 /// A change of one of three targets, or of what nobody can read, with a version.
@@ -302,7 +302,7 @@
         let mut list = TargetList::default();
 
         for (version, target, _) in &news {
-            list.take_changes(*version, word(*version, *target).into_iter().collect(), MS(0));
+            list.apply_changes(*version, word(*version, *target).into_iter().collect(), MS(0));
         }
 
         for target in 0..3 {
@@ -337,23 +337,23 @@
 #[test]
 fn a_target_that_said_that_it_leaves_gets_no_work_until_its_next_start() {
     let mut list = TargetList::default();
-    list.take_snapshot(10, vec![started(9, "a", 5), listed(10, "b", 2)], MS(0));
+    list.apply_snapshot(10, vec![started(9, "a", 5), listed(10, "b", 2)], MS(0));
     let first = started(9, "a", 5).entry;
-    assert_eq!(list.note_leaving(&first, MS(1)), [ListEvent::SaysLeaving("a".into())]);
-    assert_eq!(list.note_leaving(&first, MS(2)), []);
+    assert_eq!(list.record_leaving(&first, MS(1)), [ListEvent::AnnouncedLeaving("a".into())]);
+    assert_eq!(list.record_leaving(&first, MS(2)), []);
     assert_eq!(serving(&list), ["b"]);
 
-    list.take_changes(11, vec![TargetChange::Set(started(11, "a", 5))], MS(3));
+    list.apply_changes(11, vec![TargetChange::Set(started(11, "a", 5))], MS(3));
     assert_eq!(serving(&list), ["b"], "written anew");
-    list.take_changes(12, vec![removed(12, "a")], MS(4));
-    list.take_snapshot(14, vec![started(13, "a", 5), listed(10, "b", 2)], MS(5));
+    list.apply_changes(12, vec![removed(12, "a")], MS(4));
+    list.apply_snapshot(14, vec![started(13, "a", 5), listed(10, "b", 2)], MS(5));
     assert_eq!(serving(&list), ["b"], "listed again");
 
-    list.take_changes(15, vec![], MS(1500));
-    list.take_changes(16, vec![TargetChange::Set(started(16, "a", 6))], MS(2000));
+    list.apply_changes(15, vec![], MS(1500));
+    list.apply_changes(16, vec![TargetChange::Set(started(16, "a", 6))], MS(2000));
     assert_eq!(serving(&list), ["a", "b"]);
     // A late answer of the start before says nothing of this one.
-    list.note_leaving(&first, MS(2001));
+    list.record_leaving(&first, MS(2001));
     assert_eq!(serving(&list), ["a", "b"]);
 }
 
@@ -361,9 +361,9 @@
 #[test]
 fn a_word_on_leaving_that_may_be_of_the_next_start_holds_for_it_for_a_while() {
     let mut list = TargetList::default();
-    list.take_snapshot(10, vec![started(9, "a", 5), listed(10, "b", 2)], MS(0));
-    list.note_leaving(&started(9, "a", 5).entry, MS(9000));
-    list.take_snapshot(12, vec![started(12, "a", 6), listed(10, "b", 2)], MS(10_000));
+    list.apply_snapshot(10, vec![started(9, "a", 5), listed(10, "b", 2)], MS(0));
+    list.record_leaving(&started(9, "a", 5).entry, MS(9000));
+    list.apply_snapshot(12, vec![started(12, "a", 6), listed(10, "b", 2)], MS(10_000));
     assert_eq!(serving(&list), ["b"]);
 
     // It did not mean the one that is there now.
@@ -388,8 +388,8 @@
             let mut list = TargetList::default();
             let options = SubsetOptions { size: SIZE, elsewhere: 16 };
             let (process, hall) = (format!("gateway-{gateway}"), format!("hall-{}", gateway % 5));
-            list.set_view(SubsetView { process, hall: hall.clone(), options });
-            list.take_snapshot(1, listed.clone(), MS(0));
+            list.set_subset_view(SubsetView { process, hall: hall.clone(), options });
+            list.apply_snapshot(1, listed.clone(), MS(0));
             let candidates = list.candidates("plain").expect("the service has targets");
             assert_eq!(candidates.len(), SIZE);
             let elsewhere = candidates.iter().filter(|t| t.hall != hall).count();
@@ -406,7 +406,7 @@
 #[test]
 fn a_target_is_found_by_its_address_and_the_newest_one_there() {
     let mut list = TargetList::default();
-    list.take_snapshot(10, vec![listed(8, "a", 1), listed(10, "b", 1), listed(9, "c", 2)], MS(0));
+    list.apply_snapshot(10, vec![listed(8, "a", 1), listed(10, "b", 1), listed(9, "c", 2)], MS(0));
     let found = |list: &TargetList, port: u16| {
         list.newest_at(([127, 0, 0, 1], port).into()).map(|target| target.id.clone())
     };
@@ -414,6 +414,6 @@
     assert_eq!(found(&list, 1), Some("b".into()));
     assert_eq!(found(&list, 2), Some("c".into()));
     assert_eq!(found(&list, 3), None);
-    list.take_changes(11, vec![removed(11, "b")], MS(10));
+    list.apply_changes(11, vec![removed(11, "b")], MS(10));
     assert_eq!(found(&list, 1), Some("a".into()));
 }
--- a/grebedeck/src/agent/service.rs
+++ b/grebedeck/src/agent/service.rs
@@ -5,8 +5,8 @@
 
 use grebedeck_core::time::unix_ms;
 use grebedeck_core::{AttemptId, Incarnation, Moment};
-use grebedeck_gateway::Rest;
-use grebedeck_gateway::rest::asked_rest;
+use grebedeck_gateway::RetryAfter;
+use grebedeck_gateway::rest::requested_retry_after;
 use grebedeck_kernel::log::LineBudget;
 use grebedeck_kernel::{Clock, Counter, Metrics, Service, log};
 use grebedeck_net::http::HttpClient;
@@ -34,7 +34,7 @@
 
 /// Until when the target itself wants nothing, and the lines on that.
 struct TargetRest {
-    rest: Rest,
+    rest: RetryAfter,
     lines: LineBudget,
 }
 
@@ -87,7 +87,7 @@
                 "Attempts by the gate's verdict",
             ),
             rest: Mutex::new(TargetRest {
-                rest: Rest::default(),
+                rest: RetryAfter::default(),
                 lines: LineBudget::new(LINES_PER_S),
             }),
             gate: Mutex::new(Gate::new(incarnation, unix_ms(), options)),
@@ -125,7 +125,7 @@
 
     /// Gets how much longer the target rests, where it does.
     pub(super) fn rest_left(&self) -> Option<Duration> {
-        let left = self.rest().rest.left(self.now());
+        let left = self.rest().rest.remaining(self.now());
 
         (!left.is_zero()).then_some(left)
     }
@@ -136,10 +136,10 @@
         let values = values.map(|value| value.as_str().as_bytes());
         let now = self.now();
 
-        if let Some(asked) = asked_rest(response.status() as u16, values) {
+        if let Some(asked) = requested_retry_after(response.status() as u16, values) {
             let rest_ms = asked.as_millis() as u64;
             let mut known = self.rest();
-            known.rest.ask(asked, now);
+            known.rest.extend(asked, now);
 
             if let Some(left_out) = known.lines.take_line(now) {
                 let status = response.status() as u16;
--- a/grebedeck/src/gateway.rs
+++ b/grebedeck/src/gateway.rs
@@ -165,7 +165,7 @@
         gateway.log_left_out();
         gateway.forget_warm();
         gateway.forget_limits();
-        gateway.refusals.borrow_mut().forget_old(gateway.now());
+        gateway.refusals.borrow_mut().remove_expired(gateway.now());
         gateway.quarantine.borrow_mut().forget_old(gateway.now());
         gateway.pool.drop_rested(gateway.now());
     }
--- a/grebedeck/src/gateway/attempt.rs
+++ b/grebedeck/src/gateway/attempt.rs
@@ -6,7 +6,7 @@
 
 use async_std::future::timeout;
 use grebedeck_gateway::answer::MISDIRECTED;
-use grebedeck_gateway::rest::asked_rest;
+use grebedeck_gateway::rest::requested_retry_after;
 use grebedeck_gateway::wire::TargetLoad;
 use grebedeck_gateway::{TargetEntry, Verdict, judge};
 use grebedeck_http::{BodyDecoder, Connection, Decoded, HttpError, ResponseHead, response_framing};
@@ -248,7 +248,7 @@
 }
 
 fn refusal(gateway: &Gateway, head: &ResponseHead) -> Refusal {
-    let asked = asked_rest(head.status, head.headers.all(gateway.names.retry_after));
+    let asked = requested_retry_after(head.status, head.headers.all(gateway.names.retry_after));
 
     Refusal { status: head.status, asked }
 }
--- a/grebedeck/src/gateway/buffer.rs
+++ b/grebedeck/src/gateway/buffer.rs
@@ -8,7 +8,7 @@
 
 use async_std::future::timeout;
 use event_listener::Event;
-use grebedeck_gateway::memory::Memory;
+use grebedeck_gateway::memory::MemoryBudget;
 use serde_json::json;
 
 /// Bytes that are asked for first where a length is not known; about a small answer.
@@ -16,7 +16,7 @@
 
 /// A part of the memory, shared by all requests.
 pub struct SharedMemory {
-    memory: RefCell<Memory>,
+    memory: RefCell<MemoryBudget>,
     /// Told whenever something was given back.
     freed: Event,
 }
@@ -24,7 +24,10 @@
 impl SharedMemory {
     /// Makes a part of which nothing is taken.
     pub fn new(max_bytes: usize) -> Rc<Self> {
-        Rc::new(SharedMemory { memory: RefCell::new(Memory::new(max_bytes)), freed: Event::new() })
+        Rc::new(SharedMemory {
+            memory: RefCell::new(MemoryBudget::new(max_bytes)),
+            freed: Event::new(),
+        })
     }
 
     /// Gets the bytes that are taken.
@@ -37,7 +40,7 @@
         let memory = self.memory.borrow();
 
         json!({
-            "used": memory.used_bytes(), "most": memory.most_bytes(), "allowed": memory.max_bytes(),
+            "used": memory.used_bytes(), "most": memory.peak_bytes(), "allowed": memory.max_bytes(),
         })
     }
 }
@@ -62,7 +65,7 @@
             return true;
         }
 
-        if !self.shared.memory.borrow().could_hold(len_bytes) {
+        if !self.shared.memory.borrow().can_hold(len_bytes) {
             return false;
         }
 
@@ -123,7 +126,7 @@
 
     fn try_reserve(&mut self, len_bytes: usize) -> bool {
         let more = len_bytes.saturating_sub(self.reserved_bytes);
-        let is_taken = self.shared.memory.borrow_mut().take(self.reserved_bytes, more);
+        let is_taken = self.shared.memory.borrow_mut().try_reserve(self.reserved_bytes, more);
 
         if is_taken {
             self.reserved_bytes += more;
@@ -134,7 +137,7 @@
 
     fn give_back(&self, bytes: usize) {
         if bytes > 0 {
-            self.shared.memory.borrow_mut().give_back(bytes);
+            self.shared.memory.borrow_mut().release(bytes);
             self.shared.freed.notify(usize::MAX);
         }
     }
--- a/grebedeck/src/gateway/cold.rs
+++ b/grebedeck/src/gateway/cold.rs
@@ -20,7 +20,7 @@
 
     /// Takes in what a target says of how much longer it is cold.
     pub fn note_cold(&self, target: &str, remaining: Duration) {
-        self.cold.borrow_mut().note_word(target, remaining, self.now());
+        self.cold.borrow_mut().record_report(target, remaining, self.now());
     }
 
     /// Takes targets for cold at least until a moment, unless they say otherwise later.
@@ -30,7 +30,7 @@
 
     /// Takes in what entries that were written anew say.
     pub(super) fn note_heard(&self) {
-        let heard = self.targets.borrow_mut().take_heard();
+        let heard = self.targets.borrow_mut().take_updated();
 
         for entry in heard {
             self.note_cold(&entry.id, entry.cold);
@@ -120,14 +120,14 @@
         let mut cold = self.cold.borrow_mut();
 
         if cold.is_cold(&target.id, now) {
-            let is_within = cold.take(&target.id, cold_per_s, now);
+            let is_within = cold.try_acquire(&target.id, cold_per_s, now);
             self.counters.cold.add(if is_within { "sent" } else { "sent_beyond" });
         }
     }
 
     /// Forgets targets that have not been cold for a while.
     pub(super) fn forget_warm(&self) {
-        self.cold.borrow_mut().forget_warm(self.now());
+        self.cold.borrow_mut().remove_expired(self.now());
     }
 
     fn cold_per_s(&self, service: &str) -> f64 {
--- a/grebedeck/src/gateway/dump.rs
+++ b/grebedeck/src/gateway/dump.rs
@@ -25,7 +25,7 @@
                 "born_ms": entry.born_ms, "cold_ms": self.cold_left(&entry.id).as_millis() as u64,
                 "readable": targets.is_readable(&entry.id),
                 "rest_ms": self.rest_left(&entry.id, now).as_millis() as u64,
-                "says_leaving": targets.says_leaving(entry),
+                "says_leaving": targets.has_announced_leaving(entry),
                 "limit": self.limit_dump(entry, now),
             })
         };
--- a/grebedeck/src/gateway/halls.rs
+++ b/grebedeck/src/gateway/halls.rs
@@ -102,7 +102,7 @@
             }
         }
 
-        self.targets.borrow_mut().know_halls_up_to(version);
+        self.targets.borrow_mut().advance_halls_version(version);
         self.note_operator_quiet();
     }
 
@@ -137,7 +137,7 @@
     /// Lets targets leave whose time to do so is over, where housekeeping is late: a process that was frozen may look
     /// for a place before it.
     pub(super) fn refresh_halls(&self) {
-        let is_late = self.with_targets(|t| t.is_index_older(HOUSEKEEPING_PERIOD, self.now()));
+        let is_late = self.with_targets(|t| t.is_index_stale(HOUSEKEEPING_PERIOD, self.now()));
 
         if is_late {
             self.drop_lapsed();
@@ -149,7 +149,7 @@
         let bound = millis(self.settings().evacuate_ms);
         let now = self.now();
 
-        self.targets.borrow_mut().change_evacuations(|halls| halls.set_bound(bound), now);
+        self.targets.borrow_mut().update_evacuations(|halls| halls.set_bound(bound), now);
     }
 
     fn take_halls<E: IntoIterator<Item = HallEvent>>(
@@ -158,7 +158,7 @@
         take: impl FnOnce(&mut Evacuations, Moment) -> E,
     ) {
         let now = self.now();
-        let events = self.targets.borrow_mut().change_evacuations(|halls| take(halls, now), now);
+        let events = self.targets.borrow_mut().update_evacuations(|halls| take(halls, now), now);
 
         for event in events {
             self.note_hall_event(&event, from);
--- a/grebedeck/src/gateway/health.rs
+++ b/grebedeck/src/gateway/health.rs
@@ -99,9 +99,9 @@
         let now = self.now();
         let service = target.service.as_str();
 
-        if self.with_outage(service, |outage| outage.opened(load.group, load.formation, now)) {
+        if self.with_outage(service, |outage| outage.record_open(load.group, load.formation, now)) {
             log::info!("group open", kv: { service, target = target.id.as_str() });
-            self.refusals.borrow_mut().reopened(service, now);
+            self.refusals.borrow_mut().record_recovery(service, now);
             self.freed.notify(usize::MAX);
         }
     }
@@ -110,7 +110,7 @@
     fn note_closed(&self, service: &str, load: &RankLoad) -> bool {
         let now = self.now();
 
-        self.with_outage(service, |outage| outage.closed(load.group, load.formation, now))
+        self.with_outage(service, |outage| outage.record_closed(load.group, load.formation, now))
     }
 
     /// Tells whether a target's group has said lately that it makes no passes.
@@ -140,16 +140,16 @@
     pub fn take_trial(&self, service: &str) -> bool {
         let now = self.now();
 
-        self.with_outage(service, |outage| outage.take_trial(now))
+        self.with_outage(service, |outage| outage.try_probe(now))
     }
 
     /// Notes that a target of a service took a request.
     pub fn note_taken(&self, service: &str) {
         let now = self.now();
 
-        if self.with_outage(service, |outage| outage.succeeded(now)) {
+        if self.with_outage(service, |outage| outage.record_success(now)) {
             log::info!("service back", kv: { service });
-            self.refusals.borrow_mut().reopened(service, now);
+            self.refusals.borrow_mut().record_recovery(service, now);
             self.freed.notify(usize::MAX);
         }
     }
@@ -158,8 +158,8 @@
     pub fn note_not_taken(&self, service: &str, cause: FailureCause) {
         let now = self.now();
         let is_out_now = self.with_outage(service, |outage| match cause {
-            FailureCause::Refused => outage.refused(),
-            _ => outage.failed(now),
+            FailureCause::Refused => outage.record_refusal(),
+            _ => outage.record_failure(now),
         });
 
         if is_out_now {
@@ -187,11 +187,11 @@
         let expected = (stall + form.unwrap_or_default()).saturating_sub(START_LAG);
 
         OutageOptions {
-            failures: OUTAGE_FAILURES,
-            expected,
-            overdue: OVERDUE,
-            word_lifetime: GROUP_WORD_LIFETIME,
-            trial_pause: TRIAL_PAUSE,
+            failure_threshold: OUTAGE_FAILURES,
+            expected_duration: expected,
+            overdue_estimate: OVERDUE,
+            report_lifetime: GROUP_WORD_LIFETIME,
+            probe_interval: TRIAL_PAUSE,
         }
     }
 }
--- a/grebedeck/src/gateway/hold.rs
+++ b/grebedeck/src/gateway/hold.rs
@@ -4,7 +4,7 @@
 //! where its service is out and expected back soon, and as long as its caller waits where a stream would be cut.
 
 use grebedeck_core::Moment;
-use grebedeck_gateway::{PatienceOptions, TargetId};
+use grebedeck_gateway::{TargetId, WaitLimitOptions};
 
 use super::mechanism::Mechanism;
 use super::options::{HOLD_LIMIT, HOLD_MARGIN, MAX_HOLD, URGENT_WAIT_PART};
@@ -35,7 +35,7 @@
 pub fn can_be_in_time(gateway: &Gateway, request: &RoutedRequest) -> bool {
     let objective = request.admitted.rule.objective;
 
-    gateway.patience(&request.service, objective) > PatienceOptions::default().least
+    gateway.patience(&request.service, objective) > WaitLimitOptions::default().min_wait
 }
 
 /// Gets until when a request waits at first. Where requests differ in urgency the more urgent stay in line longer than
--- a/grebedeck/src/gateway/pace.rs
+++ b/grebedeck/src/gateway/pace.rs
@@ -26,7 +26,7 @@
         let mut paces = self.paces.borrow_mut();
 
         if let Some(pace) = paces.get_mut(service) {
-            pace.note_pause(pause, now);
+            pace.record_pause(pause, now);
             return;
         }
 
@@ -42,7 +42,7 @@
         let options =
             passes.map_or(options, |passes| options.with_deadline(rule.time_limit, passes));
         let mut pace = Pacing::new(options);
-        pace.note_pause(pause, now);
+        pace.record_pause(pause, now);
         paces.insert(service.to_string(), pace);
     }
 
--- a/grebedeck/src/gateway/peers.rs
+++ b/grebedeck/src/gateway/peers.rs
@@ -226,7 +226,7 @@
     }
 
     gateway.change_targets(|targets, now| {
-        targets.take_snapshot(state.targets_version, state.targets, now)
+        targets.apply_snapshot(state.targets_version, state.targets, now)
     });
 
     if state.targets_version > 0 {
--- a/grebedeck/src/gateway/place.rs
+++ b/grebedeck/src/gateway/place.rs
@@ -278,7 +278,7 @@
     let chooser = gateway.chooser.borrow();
     let is_closed = |t: &&Arc<TargetEntry>| gateway.is_group_closed(t, now);
     let steady = chooser.without_slow(&targets, now).into_iter().filter(|t| !is_closed(t));
-    let taking = gateway.refusals.borrow().to_send_to(steady.collect(), tried.is_empty(), now);
+    let taking = gateway.refusals.borrow().eligible(steady.collect(), tried.is_empty(), now);
 
     taking.into_iter().cloned().collect()
 }
--- a/grebedeck/src/gateway/prompts.rs
+++ b/grebedeck/src/gateway/prompts.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use grebedeck_core::Moment;
-use grebedeck_gateway::{PromptRate, TargetEntry};
+use grebedeck_gateway::{PromptLimiter, TargetEntry};
 
 use super::mechanism::Mechanism;
 use super::options::{FIRST_LOAD_WAIT, FIRST_WATCH_PERIOD, PROMPT_BURST, PROMPT_PART};
@@ -50,7 +50,7 @@
         let tokens_per_s = all_tokens_per_s * self.share(service, &targets, now);
         let tokens = request.request.prompt_tokens(&self.names).unwrap_or(engine.usual_prompt);
         let mut prompts = self.prompts.borrow_mut();
-        let first = PromptRate::new(tokens_per_s, PROMPT_BURST);
+        let first = PromptLimiter::new(tokens_per_s, PROMPT_BURST);
         let rate = prompts.entry(service.clone()).or_insert(first);
         rate.set_rate(tokens_per_s);
         rate.take(tokens, now);
--- a/grebedeck/src/gateway/refusing.rs
+++ b/grebedeck/src/gateway/refusing.rs
@@ -5,7 +5,7 @@
 
 use grebedeck_core::Moment;
 use grebedeck_gateway::TargetEntry;
-use grebedeck_gateway::refusals::RefusalNews;
+use grebedeck_gateway::refusals::RefusalEffect;
 use grebedeck_gateway::wire::{TargetLoad, says_leaving};
 use grebedeck_http::ResponseHead;
 use grebedeck_kernel::log;
@@ -23,7 +23,7 @@
     /// Takes in that a target leaves, if the head of an answer says so. It holds whichever request the answer is to.
     pub(super) fn note_leaving_word(&self, target: &TargetEntry, head: &ResponseHead) {
         if head.headers.all(self.names.leaving).any(says_leaving) {
-            self.change_targets(|targets, now| targets.note_leaving(target, now));
+            self.change_targets(|targets, now| targets.record_leaving(target, now));
         }
     }
 
@@ -57,16 +57,16 @@
     /// Takes in a target's refusal. Of one that says that it is full its load tells enough, unless it asks for rest.
     pub fn note_refusal(&self, target: &TargetEntry, refusal: Refusal, load: Option<TargetLoad>) {
         if refusal.asked.is_none() && load.is_some_and(|load| !load.has_room()) {
-            return self.refusals.borrow_mut().full(&target.id);
+            return self.refusals.borrow_mut().record_full(&target.id);
         }
 
         let now = self.now();
-        let news = self.refusals.borrow_mut().refused(target, refusal.asked, now);
+        let news = self.refusals.borrow_mut().record_refusal(target, refusal.asked, now);
         let (id, status) = (target.id.as_str(), refusal.status);
 
         match news {
-            RefusalNews::None => {}
-            RefusalNews::Rests => {
+            RefusalEffect::None => {}
+            RefusalEffect::RetryAfterRequested => {
                 let rest_ms = self.rest_left(id, now).as_millis() as u64;
                 self.counters.refusing.add("rests");
 
@@ -74,7 +74,7 @@
                     log::info!("target rests", kv: { target = id, status, rest_ms, left_out });
                 }
             }
-            RefusalNews::Paused(pause) => {
+            RefusalEffect::BackedOff(pause) => {
                 let pause_ms = pause.as_millis() as u64;
                 self.counters.refusing.add("paused");
 
@@ -89,7 +89,7 @@
     pub(super) fn note_target_took(&self, target: &TargetEntry) {
         let now = self.now();
 
-        if !self.refusals.borrow_mut().took(target, now) {
+        if !self.refusals.borrow_mut().record_accepted(target, now) {
             return;
         }
 
@@ -105,7 +105,7 @@
 
     /// Notes that a request goes to a target, which may be on trial.
     pub(super) fn note_sent(&self, target: &TargetEntry, now: Moment) {
-        if self.refusals.borrow_mut().sent(target, now) {
+        if self.refusals.borrow_mut().record_sent(target, now) {
             self.counters.refusing.add("trial");
         }
     }
@@ -120,14 +120,14 @@
 
     /// Gets how much longer a target rests.
     pub fn rest_left(&self, target: &str, now: Moment) -> Duration {
-        self.refusals.borrow().rest_left(target, now)
+        self.refusals.borrow().retry_after(target, now)
     }
 
     /// Gets after which time the first of a service's targets has rested, where all of them rest.
     pub fn all_rest(&self, service: &str) -> Option<Duration> {
         let serving = self.serving(service)?;
 
-        self.refusals.borrow().all_rest(&serving, self.now())
+        self.refusals.borrow().min_retry_after(&serving, self.now())
     }
 
     /// Gets those of a service's targets that do not rest.
@@ -136,7 +136,7 @@
         targets: &Arc<[Arc<TargetEntry>]>,
         now: Moment,
     ) -> Arc<[Arc<TargetEntry>]> {
-        self.refusals.borrow().without_resting(targets, now)
+        self.refusals.borrow().without_retry_after(targets, now)
     }
 }
 
--- a/grebedeck/src/gateway/service.rs
+++ b/grebedeck/src/gateway/service.rs
@@ -12,8 +12,9 @@
 use grebedeck_gateway::answer;
 use grebedeck_gateway::targets::ListEvent;
 use grebedeck_gateway::{
-    ColdGate, HeaderNames, Outage, Pacing, Patience, PatienceOptions, PromptRate, Refusals,
-    RouteTable, Site, TargetEntry, TargetId, TargetList, WindowBudget, WindowOptions,
+    ColdLimiter, HeaderNames, Outage, Pacing, PromptLimiter, Refusals, RouteTable, Site,
+    TargetEntry, TargetId, TargetList, WaitLimit, WaitLimitOptions, WindowedRetryBudget,
+    WindowedRetryOptions,
 };
 use grebedeck_kernel::log::LineBudget;
 use grebedeck_kernel::{Clock, Metrics, log};
@@ -69,7 +70,7 @@
     /// What is known of what operators have written.
     pub(super) operator: OperatorView,
     pub(super) hears_ranks: Cell<bool>,
-    budgets: RefCell<HashMap<ServiceName, WindowBudget>>,
+    budgets: RefCell<HashMap<ServiceName, WindowedRetryBudget>>,
     site: RefCell<Option<Site>>,
     /// Whom this gateway follows, and what it has for those that follow it.
     pub(super) relay: RelayState,
@@ -81,10 +82,10 @@
     /// Groups of the models' ranks, as those told.
     pub(super) groups: RefCell<HashMap<TargetId, GroupId>>,
     pub(super) paces: RefCell<HashMap<ServiceName, Pacing>>,
-    pub(super) prompts: RefCell<HashMap<ServiceName, PromptRate>>,
-    patience: RefCell<HashMap<ServiceName, Patience>>,
+    pub(super) prompts: RefCell<HashMap<ServiceName, PromptLimiter>>,
+    patience: RefCell<HashMap<ServiceName, WaitLimit>>,
     /// This gateway's part in targets that are cold.
-    pub(super) cold: RefCell<ColdGate>,
+    pub(super) cold: RefCell<ColdLimiter>,
     /// Targets that refuse requests or want rest.
     pub(super) refusals: RefCell<Refusals>,
     /// Lines on targets that refuse.
@@ -159,7 +160,7 @@
         };
         gateway.count_gateways();
         gateway.set_evacuation_bound();
-        gateway.targets.borrow_mut().set_view(gateway.settings().subset_view());
+        gateway.targets.borrow_mut().set_subset_view(gateway.settings().subset_view());
 
         gateway
     }
@@ -300,21 +301,21 @@
     pub fn earn_repeat(&self, service: &str) {
         let now = self.now();
 
-        self.with_budget(service, |budget| budget.earn(now));
+        self.with_budget(service, |budget| budget.record_request(now));
     }
 
     /// Takes one repeat of a service's budget, where there is one left.
     pub fn take_repeat(&self, service: &str) -> bool {
         let now = self.now();
 
-        self.with_budget(service, |budget| budget.take(now))
+        self.with_budget(service, |budget| budget.try_acquire(now))
     }
 
     /// Tells whether a request may be sent to another target, and takes the repeat for it.
     pub fn may_send_again(&self, request: &RoutedRequest, tried: &Tried) -> bool {
         let rule = &request.admitted.rule;
         let now = self.now();
-        let refused = if !answer::may_send_again(rule.kind, tried.run_state()) {
+        let refused = if !answer::may_retry(rule.kind, tried.run_state()) {
             Some("may have run")
         } else if tried.targets().len() >= rule.max_targets as usize {
             Some("sent often enough")
@@ -340,10 +341,10 @@
         let mut patience = self.patience.borrow_mut();
 
         match patience.get_mut(service) {
-            Some(patience) => patience.note_answer(took),
+            Some(patience) => patience.record_answer(took),
             None => {
-                let mut first = Patience::new(PatienceOptions::default());
-                first.note_answer(took);
+                let mut first = WaitLimit::new(WaitLimitOptions::default());
+                first.record_answer(took);
                 patience.insert(service.to_string(), first);
             }
         }
@@ -352,17 +353,17 @@
     /// Gets how long a request of a service may wait for a place and still be answered in time.
     pub fn patience(&self, service: &str, objective: Duration) -> Duration {
         if !self.uses(Mechanism::Patience) {
-            return PatienceOptions::default().least;
+            return WaitLimitOptions::default().min_wait;
         }
 
         let patience = self.patience.borrow();
 
-        patience.get(service).map_or(objective, |patience| patience.wait(objective))
+        patience.get(service).map_or(objective, |patience| patience.max_wait(objective))
     }
 
     /// Gets the time that a service's targets usually take for an answer or its first event.
     pub fn usual_answer_time(&self, service: &str) -> Option<Duration> {
-        self.patience.borrow().get(service).map(Patience::mean)
+        self.patience.borrow().get(service).map(WaitLimit::mean)
     }
 
     /// Counts how a request ended, and logs its trace if it is of interest.
@@ -424,14 +425,14 @@
         self.freed.notify(usize::MAX);
     }
 
-    fn with_budget<T>(&self, service: &str, act: impl FnOnce(&mut WindowBudget) -> T) -> T {
+    fn with_budget<T>(&self, service: &str, act: impl FnOnce(&mut WindowedRetryBudget) -> T) -> T {
         let retry = self.settings().retry;
-        let all = WindowOptions {
+        let all = WindowedRetryOptions {
             window: Duration::from_secs_f64(retry.window_s),
             ratio: retry.ratio,
             allowance: retry.allowance,
         };
-        let own = all.part_of(self.gateways(), retry.gateways);
+        let own = all.share_of(self.gateways(), retry.gateways);
         let mut budgets = self.budgets.borrow_mut();
 
         match budgets.get_mut(service) {
@@ -439,7 +440,9 @@
                 budget.set_options(own);
                 act(budget)
             }
-            None => act(budgets.entry(service.to_string()).or_insert(WindowBudget::new(own))),
+            None => {
+                act(budgets.entry(service.to_string()).or_insert(WindowedRetryBudget::new(own)))
+            }
         }
     }
 
@@ -459,14 +462,14 @@
             ListEvent::Leaving(id) => {
                 log::info!("target leaving", kv: { target = id.as_str(), from = "list" });
             }
-            ListEvent::SaysLeaving(id) => {
+            ListEvent::AnnouncedLeaving(id) => {
                 self.counters.refusing.add("leaves");
                 log::info!("target leaving", kv: { target = id.as_str(), from = "target" });
             }
             ListEvent::Lapsed(id) => {
                 log::warn!("target lapsed", kv: { target = id.as_str() });
             }
-            ListEvent::Gone(id) => {
+            ListEvent::Removed(id) => {
                 log::info!("target gone", kv: { target = id.as_str() });
                 self.note_ended(id);
                 let targets = &self.targets;
--- a/grebedeck/src/gateway/starts.rs
+++ b/grebedeck/src/gateway/starts.rs
@@ -25,7 +25,7 @@
         self.counters.starts.add("restarted");
         self.chooser.borrow_mut().listed(&entry.id, entry.born_ms, entry.slots);
         self.groups.borrow_mut().remove(&entry.id);
-        self.refusals.borrow_mut().restarted(&entry.id);
+        self.refusals.borrow_mut().record_restart(&entry.id);
         self.pool.drop_other_starts(entry);
     }
 
--- a/grebedeck/src/gateway/stream.rs
+++ b/grebedeck/src/gateway/stream.rs
@@ -175,7 +175,8 @@
                         return end;
                     }
 
-                    if !kept.note_len(events.rest().len()) || events.rest().len() > MAX_EVENT_BYTES
+                    if !kept.note_len(events.remainder().len())
+                        || events.remainder().len() > MAX_EVENT_BYTES
                     {
                         return self.break_off(opened, target);
                     }
@@ -185,8 +186,8 @@
                     }
                 }
                 // An answer that ends within an event was cut, whatever its framing says.
-                Ok(Ok(None)) if events.rest().is_empty() || !self.is_resumable() => {
-                    let rest = Bytes::copy_from_slice(events.rest());
+                Ok(Ok(None)) if events.remainder().is_empty() || !self.is_resumable() => {
+                    let rest = Bytes::copy_from_slice(events.remainder());
                     let head = opened.head.clone();
                     opened.finish(true);
                     return self.finish(&head, rest).await;
--- a/grebedeck/src/gateway/watch.rs
+++ b/grebedeck/src/gateway/watch.rs
@@ -127,7 +127,7 @@
                 after = None;
                 gateway.counters.store_calls.add("failed");
                 gateway.change_targets(|targets, _| {
-                    targets.store_failed();
+                    targets.record_store_failure();
                     Vec::new()
                 });
                 backoff.failed(&error).await;
@@ -144,7 +144,7 @@
     let Some(after) = after else {
         let snapshot = store.read_targets().await?;
         let take = |targets: &mut TargetList, now| {
-            targets.take_snapshot(snapshot.version, snapshot.value, now)
+            targets.apply_snapshot(snapshot.version, snapshot.value, now)
         };
         gateway.change_targets(take);
         gateway.set_targets_known();
@@ -154,7 +154,7 @@
 
     match store.watch_targets(after, gateway.settings().store_wait()).await? {
         Watched::Changed { version, changes } => {
-            gateway.change_targets(|targets, now| targets.take_changes(version, changes, now));
+            gateway.change_targets(|targets, now| targets.apply_changes(version, changes, now));
 
             Ok(Some(version))
         }
--- a/grebedeck/src/rank/rested.rs
+++ b/grebedeck/src/rank/rested.rs
@@ -11,7 +11,7 @@
 use grebedeck_core::{Error, Expert, Result};
 use grebedeck_experts::engine::PlacementNo;
 use grebedeck_experts::{OrderEnd, RankAction, RankCounts, RankEngine, RankOrder, RankReport};
-use grebedeck_gateway::Rest;
+use grebedeck_gateway::RetryAfter;
 use grebedeck_kernel::log::LineBudget;
 use grebedeck_kernel::{Clock, log};
 
@@ -22,7 +22,7 @@
 const LINES_PER_S: f64 = 2.0;
 
 /// Rests that engines have asked for, by address.
-type Rests = BTreeMap<SocketAddr, Rest>;
+type Rests = BTreeMap<SocketAddr, RetryAfter>;
 
 /// An engine that is not called in the rest that it asks for.
 #[derive(Clone)]
@@ -45,7 +45,7 @@
     /// Fails where the engine rests.
     fn check(&self) -> Result<()> {
         let now = self.clock.now();
-        let left = self.rests.borrow().get(&self.address).map(|rest| rest.left(now));
+        let left = self.rests.borrow().get(&self.address).map(|rest| rest.remaining(now));
 
         match left.filter(|left| !left.is_zero()) {
             Some(left) => Err(Error::Resting(left)),
@@ -61,17 +61,17 @@
         let mut rests = self.rests.borrow_mut();
 
         if rests.len() >= MAX_REMEMBERED {
-            rests.retain(|_, rest| rest.holds(now));
+            rests.retain(|_, rest| rest.is_active(now));
         }
 
         let rest = rests.entry(self.address).or_default();
 
-        if !rest.holds(now) && self.lines.borrow_mut().take(now) {
+        if !rest.is_active(now) && self.lines.borrow_mut().take(now) {
             let rest_ms = asked.as_millis() as u64;
             log::warn!("engine rests", kv: { address = self.address.to_string(), rest_ms });
         }
 
-        rest.ask(*asked, now);
+        rest.extend(*asked, now);
     }
 
     async fn call<T>(&self, call: impl Future<Output = Result<T>>) -> Result<T> {
