--- a/grebedeck-gateway/src/answer.rs
+++ b/grebedeck-gateway/src/answer.rs
@@ -1,45 +1,50 @@
-//! What a target's answer, or the lack of one, says of a request.
+//! Classification of a target's response and of requests that end without one.
+//!
+//! The result decides whether the caller gets the response, whether the request may be retried on
+//! another target, and which status a caller gets otherwise.
 
 use crate::site::Kind;
 
-/// Whether a request has run.
+/// Whether a request has been executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunState {
-    /// It has not run and never will.
+    /// Not executed, and never will be.
     NotRun,
-    /// It may have run.
+    /// Possibly executed.
     MayHaveRun,
 }
 
-/// What the head of a target's answer says.
+/// Meaning of a response head.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It is the caller's answer.
+    /// A response to pass to the caller.
     Pass,
-    /// It is the target's own failure, which is the caller's answer unless the request is tried again.
+    /// A failure of the target, passed to the caller unless the request is retried.
     Failure,
-    /// The target has refused the request without running it.
+    /// A refusal; the target has not executed the request.
     Refused,
-    /// Another target has the address, and has not run the request.
+    /// A response from another target that now has the address; the request has not been executed.
     OtherTarget,
-    /// It is no answer that a caller may get.
+    /// A response that must not reach a caller.
     Unusable,
 }
 
-/// The status with which a target says that it is not the one that was meant.
+/// Status of a target that is not the one named in the request.
 pub const MISDIRECTED: u16 = 421;
 
-/// Statuses that promise a caller that its request has not run.
+/// Whether a status tells the caller that its request has not been executed.
 pub fn implies_not_run(status: u16) -> bool {
     matches!(status, 408 | MISDIRECTED | 429 | 503)
 }
 
-/// Judges the head of a target's answer.
+/// Classifies a response head. `is_signed` is whether the target signed the response,
+/// `says_not_run` whether it states that it has not executed the request.
 pub fn judge(status: u16, is_signed: bool, says_not_run: bool) -> Verdict {
     match status {
         MISDIRECTED => Verdict::OtherTarget,
         _ if says_not_run => Verdict::Refused,
-        // Without the target's word that it has not run, the status would promise too much.
+        // The target does not state that it has not executed the request, so the caller must not be
+        // told so by the status.
         status if implies_not_run(status) => Verdict::Unusable,
         200..300 if is_signed => Verdict::Pass,
         200..300 => Verdict::Unusable,
@@ -48,12 +53,12 @@
     }
 }
 
-/// Tells whether a request may be sent to a target again.
+/// Whether a request may be sent again.
 pub fn may_retry(kind: Kind, run: RunState) -> bool {
     run == RunState::NotRun || kind.is_repeatable()
 }
 
-/// Gets the status for a request that is given up without an answer of a target.
+/// Status for a request that ends without a response from a target.
 pub fn give_up_status(run: RunState, is_late: bool) -> u16 {
     match (run, is_late) {
         (RunState::NotRun, _) => 503,
--- a/grebedeck-gateway/src/choice.rs
+++ b/grebedeck-gateway/src/choice.rs
@@ -1,32 +1,34 @@
-//! How a gateway chooses among a service's targets.
+//! Settings for choosing a target of a service.
 
 use std::time::Duration;
 
 use grebedeck_routing::ChooserOptions;
 
-/// Targets that are looked at for a request. All gateways hear the same loads, a tenth of a second late:
-/// each looking at all targets, they ran to the same idle one, where prompts are read one after the other.
-/// With 12 gateways and 72 ranks, 6 in 100 streams began later than their objective; with three, 1 in 1,000.
-const DRAWS: usize = 3;
-/// Requests that run which one that waits counts as, beside itself. One that waits takes a new request two
-/// passes, one that runs takes it a hundredth of a pass; but places must not run out, either.
+/// Targets compared for each request. All gateways get the same load reports, a tenth of a second
+/// late; when each compared all targets, they all chose the same idle one, where prompts are read
+/// one after the other. With 12 gateways and 72 ranks, 6 in 100 streams then started later than
+/// their objective; with three draws, 1 in 1,000.
+const DRAWS_PER_REQUEST: usize = 3;
+/// Weight of a waiting request, in running requests on top of itself. A waiting request delays a
+/// new one by two passes, a running one by a hundredth of a pass; but slots must not run out
+/// either.
 const WAITING_WEIGHT: f64 = 4.0;
-/// Age after which a target's word on its load is no longer believed: much longer and a target that
-/// others have filled since would be taken for a free one.
+/// Age at which a load report expires. If it were much longer, a target that others have filled
+/// since would look free.
 const REPORT_LIFETIME: Duration = Duration::from_secs(2);
 
-/// Slowdown from which a rank gets no requests while enough others are well: all ranks wait in each pass
-/// for the slowest one, so what it does itself costs the whole group. Ranks that only differ from each other
-/// stay below it.
-const SLOW_FROM: f32 = 1.5;
+/// Slowdown from which a rank gets no requests while enough others are healthy. All ranks wait in
+/// each pass for the slowest one, so its own work delays the whole group. The usual differences
+/// between ranks stay below this.
+const SLOWDOWN_THRESHOLD: f32 = 1.5;
 
-/// Gets the settings of a gateway's choice.
+/// Options of a gateway's chooser.
 pub fn chooser_options() -> ChooserOptions {
     ChooserOptions {
-        draws: DRAWS,
+        draws: DRAWS_PER_REQUEST,
         waiting_weight: WAITING_WEIGHT,
         report_lifetime: REPORT_LIFETIME,
-        slow_from: SLOW_FROM,
+        slow_from: SLOWDOWN_THRESHOLD,
         ..ChooserOptions::default()
     }
 }
--- a/grebedeck-gateway/src/events.rs
+++ b/grebedeck-gateway/src/events.rs
@@ -1,54 +1,54 @@
-//! Events of a stream, taken whole out of a body's bytes.
+//! Splits the body of an event stream (server-sent events) into whole events.
 //!
-//! Only whole events are passed on, so that another target can go on with a stream that broke within
-//! one. An event ends with an empty line; its id stands in a line of its own.
+//! Only whole events are passed on, so that another target can resume a stream that broke within
+//! one. An event ends with an empty line; its id is in a line of its own.
 
 use bytes::{Bytes, BytesMut};
 
-/// One event with the empty line that ends it.
+/// One event, including the empty line that ends it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Event {
-    /// Its bytes.
+    /// Raw bytes.
     pub bytes: Bytes,
-    /// Its id, where it has one that is a number.
+    /// Numeric id, if the event has one.
     pub id: Option<u64>,
 }
 
-/// Takes events out of a body's bytes.
+/// Buffer that splits body bytes into events.
 #[derive(Clone, Debug, Default)]
 pub struct EventBuffer {
     buffer: BytesMut,
-    searched: usize,
+    scanned: usize,
 }
 
 impl EventBuffer {
-    /// Adds the next part of the body.
-    pub fn push(&mut self, part: &[u8]) {
-        self.buffer.extend_from_slice(part);
+    /// Appends the next chunk of the body.
+    pub fn push(&mut self, chunk: &[u8]) {
+        self.buffer.extend_from_slice(chunk);
     }
 
-    /// Takes the next whole event.
+    /// Removes and returns the next whole event.
     pub fn next_event(&mut self) -> Option<Event> {
-        // The empty line may have begun in what was searched before.
-        let from = self.searched.saturating_sub(3);
+        // The empty line may have begun in the part that was already scanned.
+        let from = self.scanned.saturating_sub(3);
         let end = from
             + find_end(&self.buffer[from..]).or_else(|| {
-                self.searched = self.buffer.len();
+                self.scanned = self.buffer.len();
                 None
             })?;
         let bytes = self.buffer.split_to(end).freeze();
-        self.searched = 0;
+        self.scanned = 0;
 
         Some(Event { id: find_id(&bytes), bytes })
     }
 
-    /// Gets the bytes that belong to no whole event.
+    /// Bytes that do not yet form a whole event.
     pub fn remainder(&self) -> &[u8] {
         &self.buffer
     }
 }
 
-/// Finds the end of the first empty line.
+/// End offset of the first empty line.
 fn find_end(bytes: &[u8]) -> Option<usize> {
     let is_end =
         |at: &usize| matches!(&bytes[*at..], [b'\n', b'\n', ..] | [b'\n', b'\r', b'\n', ..]);
--- a/grebedeck-gateway/src/leaving.rs
+++ b/grebedeck-gateway/src/leaving.rs
@@ -1,11 +1,12 @@
-//! Targets that said in an answer that they are leaving.
+//! Targets that announced in a response that they are shutting down.
 //!
-//! The platform's list lags behind such a word, may never tell it, and may list the target again when the store comes
-//! back. So the word holds for the start of the target that it is about, however long ago it came.
+//! The platform's list lags behind such a notice, may never show it, and may list the target again
+//! when the store recovers. So a notice applies to one start of a target, however old the notice
+//! is.
 //!
-//! An answer does not tell which start it is of. Where the first word came while the list may already have lagged behind
-//! the next start, it is taken for that one's as well, for as long as targets take to leave. A target that is replaced as
-//! planned has said it long before.
+//! A response does not say which start it comes from. If the first notice arrived while the list
+//! may already have lagged behind the next start, it also applies to that start, for as long as
+//! targets take to shut down. A target in a planned replacement sends its notice long before.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,91 +16,100 @@
 
 use crate::targets::{TargetEntry, TargetId};
 
-/// Starts of targets that are remembered: those of some days, in less than a megabyte. The oldest words go first, whose
-/// targets are gone.
-const MAX_REMEMBERED: usize = 4096;
-/// How long a start may run before its entry is in the store: a call that is tried again once.
+/// Number of starts to remember: those of some days, in less than a megabyte. The oldest are
+/// evicted first, as those targets are gone.
+const MAX_NOTICES: usize = 4096;
+/// Longest time from a start to its entry in the store, with one failed call that is retried.
 const ENTRY_LAG: Duration = Duration::from_secs(1);
-/// How long a word is believed that may be of an earlier start: targets end some seconds after they have said it, and
-/// one that did not mean it is missed for no longer.
-const DOUBTFUL_FOR: Duration = Duration::from_secs(10);
+/// How long a notice applies that may come from an earlier start. Targets end some seconds after
+/// their notice, and one that is excluded by mistake is not missed for longer.
+const DOUBTFUL_NOTICE_LIFETIME: Duration = Duration::from_secs(10);
 
-/// A target's word that it leaves.
+/// Notice that a target is shutting down.
 #[derive(Clone, Copy, Debug)]
-struct Said {
-    /// When it was heard first.
-    at: Moment,
-    /// Until when it is believed, where it may be of another start.
-    until: Option<Moment>,
+struct Notice {
+    /// First receipt.
+    received_at: Moment,
+    /// Expiry, if the notice may come from another start.
+    expires_at: Option<Moment>,
 }
 
-impl Said {
-    fn holds(&self, now: Moment) -> bool {
-        self.until.is_none_or(|until| now < until)
+impl Notice {
+    fn is_in_force(&self, now: Moment) -> bool {
+        self.expires_at.is_none_or(|expires_at| now < expires_at)
     }
 }
 
-/// Starts of targets that said that they leave, and when they did.
+/// Shutdown notices by target and start.
 #[derive(Clone, Debug, Default)]
 pub struct LeavingNotices {
-    said: BTreeMap<(TargetId, Birth), Said>,
+    notices: BTreeMap<(TargetId, Birth), Notice>,
 }
 
 impl LeavingNotices {
-    /// Notes that a start of a target says that it leaves; tells whether that is news.
+    /// Records a notice from a start of a target; returns whether none was in force.
     pub fn record(&mut self, target: &TargetEntry, now: Moment) -> bool {
         let key = (target.id.clone(), target.born_ms);
-        let before = self.said.get(&key).copied();
-        let at = before.map_or(now, |before| before.at);
-        self.said.insert(key, Said { at, until: None });
-        self.forget_oldest();
+        let before = self.notices.get(&key).copied();
+        let received_at = before.map_or(now, |before| before.received_at);
+        self.notices.insert(key, Notice { received_at, expires_at: None });
+        self.evict_oldest();
 
-        before.is_none_or(|before| !before.holds(now))
+        before.is_none_or(|before| !before.is_in_force(now))
     }
 
-    /// Notes that the list names another start of a target than before, which it may have lagged behind since it was
-    /// taken in last.
+    /// Records that the list shows a different start of a target. The list may have lagged behind
+    /// that start since `listed_before`, when it was last updated.
     pub fn record_start(&mut self, target: &TargetEntry, listed_before: Moment, now: Moment) {
         let key = (target.id.clone(), target.born_ms);
         let from = listed_before.saturating_sub(ENTRY_LAG);
-        let of_target = self.said.range((target.id.clone(), None)..);
+        let of_target = self.notices.range((target.id.clone(), None)..);
         let newest = of_target
             .take_while(|((id, _), _)| *id == target.id)
-            .filter(|(_, said)| said.until.is_none())
-            .map(|(_, said)| said.at)
+            .filter(|(_, notice)| notice.expires_at.is_none())
+            .map(|(_, notice)| notice.received_at)
             .max();
 
-        if let Some(at) = newest.filter(|at| *at >= from) {
-            self.said.entry(key).or_insert(Said { at, until: Some(now + DOUBTFUL_FOR) });
+        if let Some(received_at) = newest.filter(|received_at| *received_at >= from) {
+            self.notices.entry(key).or_insert(Notice {
+                received_at,
+                expires_at: Some(now + DOUBTFUL_NOTICE_LIFETIME),
+            });
         }
     }
 
-    /// Tells whether this start of a target said that it leaves.
+    /// Whether a notice from this start of a target is in force.
     pub fn contains(&self, target: &TargetEntry, now: Moment) -> bool {
-        if self.said.is_empty() {
+        if self.notices.is_empty() {
             return false;
         }
 
-        self.said.get(&(target.id.clone(), target.born_ms)).is_some_and(|said| said.holds(now))
+        self.notices
+            .get(&(target.id.clone(), target.born_ms))
+            .is_some_and(|notice| notice.is_in_force(now))
     }
 
-    /// Forgets words that are not believed any more; tells whether there were some.
+    /// Removes expired notices; returns whether there were any.
     pub fn remove_expired(&mut self, now: Moment) -> bool {
-        let before = self.said.len();
-        self.said.retain(|_, said| said.holds(now));
+        let before = self.notices.len();
+        self.notices.retain(|_, notice| notice.is_in_force(now));
 
-        self.said.len() < before
+        self.notices.len() < before
     }
 
-    fn forget_oldest(&mut self) {
-        if self.said.len() <= MAX_REMEMBERED {
+    fn evict_oldest(&mut self) {
+        if self.notices.len() <= MAX_NOTICES {
             return;
         }
 
-        let oldest = self.said.iter().min_by_key(|(_, said)| said.at).map(|(key, _)| key.clone());
+        let oldest = self
+            .notices
+            .iter()
+            .min_by_key(|(_, notice)| notice.received_at)
+            .map(|(key, _)| key.clone());
 
         if let Some(key) = oldest {
-            self.said.remove(&key);
+            self.notices.remove(&key);
         }
     }
 }
--- a/grebedeck-gateway/src/memory.rs
+++ b/grebedeck-gateway/src/memory.rs
@@ -1,15 +1,15 @@
-//! How a part of a process's memory is dealt out among many holders.
+//! Budget for a share of the process's memory, divided among many holders.
 //!
-//! Whoever holds little gets as much as there is. Whoever holds much leaves a part to the others, so that a few
-//! large answers that nobody reads do not turn away the many small ones.
+//! Small holders may use the whole budget. Large holders leave a part of it free, so that a few
+//! large responses that nobody reads do not cause many small ones to be turned away.
 
-/// What a holder may have and still count as small, in bytes: the socket of a caller that reads takes about as
-/// much at once.
+/// Holding up to which a holder counts as small, in bytes: about what the socket of a caller that
+/// reads takes at once.
 pub const SMALL_BYTES: usize = 16 << 10;
-/// Part that all together may have taken for a large holder to get more.
-const LARGE_PART: f64 = 0.75;
+/// Part of the budget that may be in use after a reservation by a large holder.
+const LARGE_HOLDER_SHARE: f64 = 0.75;
 
-/// A part of memory.
+/// Memory budget, in bytes.
 #[derive(Clone, Debug)]
 pub struct MemoryBudget {
     max_bytes: usize,
@@ -18,12 +18,13 @@
 }
 
 impl MemoryBudget {
-    /// Makes one of which nothing is taken.
+    /// Creates an unused budget.
     pub fn new(max_bytes: usize) -> Self {
         MemoryBudget { max_bytes, used_bytes: 0, peak_bytes: 0 }
     }
 
-    /// Takes more for a holder that has some already; tells whether there was enough left.
+    /// Reserves more for a holder that already has `held_bytes`; returns whether there was enough
+    /// left.
     pub fn try_reserve(&mut self, held_bytes: usize, more_bytes: usize) -> bool {
         let used = self.used_bytes.saturating_add(more_bytes);
 
@@ -36,27 +37,27 @@
         true
     }
 
-    /// Gives back what was taken.
+    /// Releases reserved bytes.
     pub fn release(&mut self, bytes: usize) {
         self.used_bytes -= bytes;
     }
 
-    /// Tells whether a holder of that much could get it if nobody else held anything.
+    /// Whether one holder could hold this much if nothing else were reserved.
     pub fn can_hold(&self, bytes: usize) -> bool {
         bytes <= self.limit_for(bytes)
     }
 
-    /// Gets the bytes that are taken.
+    /// Bytes in use.
     pub fn used_bytes(&self) -> usize {
         self.used_bytes
     }
 
-    /// Gets the most bytes that were taken at a time.
+    /// Highest number of bytes in use at any time.
     pub fn peak_bytes(&self) -> usize {
         self.peak_bytes
     }
 
-    /// Gets the bytes that may be taken.
+    /// Size of the budget.
     pub fn max_bytes(&self) -> usize {
         self.max_bytes
     }
@@ -65,7 +66,7 @@
         if held_bytes <= SMALL_BYTES {
             self.max_bytes
         } else {
-            (self.max_bytes as f64 * LARGE_PART) as usize
+            (self.max_bytes as f64 * LARGE_HOLDER_SHARE) as usize
         }
     }
 }
--- a/grebedeck-gateway/src/patience.rs
+++ b/grebedeck-gateway/src/patience.rs
@@ -1,31 +1,32 @@
-//! How long a request may wait for a place and still be answered in time.
+//! How long a request may wait in the queue and still be answered in time.
 //!
-//! What a target needs from taking a request to the first event of its answer, or to a whole answer, is
-//! followed by its mean and its spread. What is left of the objective beyond that may be spent on
-//! waiting. A request that waits longer is late wherever it goes.
+//! The time from the start of an attempt to the first event or the whole answer is tracked as a
+//! mean and a mean deviation. What the latency objective leaves beyond that may be spent in the
+//! queue. A request that waits longer misses its objective whichever target it gets.
 
 use std::time::Duration;
 
-/// Settings of the patience.
+/// Settings of the wait limit.
 #[derive(Clone, Copy, Debug)]
 pub struct WaitLimitOptions {
-    /// Weight of each new time in the mean and the spread.
+    /// Weight of each new sample in the mean and the deviation.
     pub gain: f64,
-    /// Mean deviations above the mean that are allowed for.
+    /// Mean deviations above the mean to allow for.
     pub deviations: f64,
-    /// Least patience: some places become free within it, and a caller who is told to come back loses
-    /// more.
+    /// Lower bound of the limit: some slots become free within it, and a caller that is turned away
+    /// and told to retry loses more.
     pub min_wait: Duration,
 }
 
 impl Default for WaitLimitOptions {
     fn default() -> Self {
-        // Some dozens of answers; two mean deviations cover 19 of 20 answers.
+        // The gain averages over some dozens of answers; two mean deviations cover 19 of 20
+        // answers.
         WaitLimitOptions { gain: 0.03, deviations: 2.0, min_wait: Duration::from_millis(20) }
     }
 }
 
-/// Times that a service's targets need for an answer.
+/// Wait limit from the response times of a service's targets.
 #[derive(Clone, Copy, Debug)]
 pub struct WaitLimit {
     options: WaitLimitOptions,
@@ -35,12 +36,12 @@
 }
 
 impl WaitLimit {
-    /// Makes the patience with targets that were not seen yet.
+    /// Creates a limit without samples.
     pub fn new(options: WaitLimitOptions) -> Self {
         WaitLimit { options, mean_s: 0.0, deviation_s: 0.0, is_known: false }
     }
 
-    /// Takes in the time from a request's place to its answer or its first event.
+    /// Records the time from the start of an attempt to its answer or its first event.
     pub fn record_answer(&mut self, took: Duration) {
         let took_s = took.as_secs_f64();
 
@@ -50,17 +51,17 @@
             return;
         }
 
-        let off_s = took_s - self.mean_s;
-        self.mean_s += self.options.gain * off_s;
-        self.deviation_s += self.options.gain * (off_s.abs() - self.deviation_s);
+        let error_s = took_s - self.mean_s;
+        self.mean_s += self.options.gain * error_s;
+        self.deviation_s += self.options.gain * (error_s.abs() - self.deviation_s);
     }
 
-    /// Gets the mean time to an answer.
+    /// Mean time to an answer.
     pub fn mean(&self) -> Duration {
         Duration::from_secs_f64(self.mean_s)
     }
 
-    /// Gets how long a request with this objective may wait for a place.
+    /// Longest time in the queue for a request with this objective.
     pub fn max_wait(&self, objective: Duration) -> Duration {
         let needed_s = self.mean_s + self.options.deviations * self.deviation_s;
 
--- a/grebedeck-gateway/src/retry.rs
+++ b/grebedeck-gateway/src/retry.rs
@@ -1,103 +1,106 @@
-//! Budget for sending a request to a second target, kept per service over a sliding window.
+//! Retry budget of a service over a sliding window.
 //!
-//! All gateways together may send a part of a window's requests again, and a fixed number on top. Each
-//! gateway counts its own requests, so the parts add up; the fixed number is divided among them.
+//! All gateways together may retry a fixed ratio of the requests in a window, plus a fixed
+//! allowance. Each gateway counts its own requests, so the ratios add up; the allowance is divided
+//! among the gateways.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use grebedeck_core::Moment;
 
-/// Slots that a window is counted in.
-const SLOTS_PER_WINDOW: u32 = 20;
+/// Buckets per window.
+const BUCKETS_PER_WINDOW: u32 = 20;
 
-/// Settings of a budget.
+/// Settings of a retry budget.
 #[derive(Clone, Copy, Debug)]
 pub struct WindowedRetryOptions {
     /// Length of the window.
     pub window: Duration,
-    /// Repeats for each request in the window.
+    /// Retries per request in the window.
     pub ratio: f64,
-    /// Repeats on top of that.
+    /// Retries on top of the ratio.
     pub allowance: f64,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Slot {
+struct Bucket {
     from: Moment,
     requests: u32,
-    repeats: u32,
+    retries: u32,
 }
 
-/// A budget.
+/// Retry budget over a sliding window.
 #[derive(Clone, Debug)]
 pub struct WindowedRetryBudget {
     options: WindowedRetryOptions,
-    slots: VecDeque<Slot>,
+    buckets: VecDeque<Bucket>,
 }
 
 impl WindowedRetryOptions {
-    /// Gets one gateway's part of what `gateways` of them may do together. Each counts its own requests, so
-    /// only the allowance is divided: by `least` at the least, as some may not be known yet.
+    /// Share of one gateway in the budget of `gateways` of them. Each counts its own requests, so
+    /// only the allowance is divided. The divisor is at least `least`, as some gateways may not be
+    /// known yet.
     pub fn share_of(self, gateways: usize, least: f64) -> Self {
         WindowedRetryOptions { allowance: self.allowance / least.max(gateways as f64), ..self }
     }
 }
 
 impl WindowedRetryBudget {
-    /// Makes a budget that nothing was taken of.
+    /// Creates an unused budget.
     pub fn new(options: WindowedRetryOptions) -> Self {
-        WindowedRetryBudget { options, slots: VecDeque::new() }
+        WindowedRetryBudget { options, buckets: VecDeque::new() }
     }
 
-    /// Puts other settings in force, such as a smaller part of the allowance as gateways are added. What was
-    /// counted stays.
+    /// Replaces the options, such as with a smaller allowance as gateways are added. The counts
+    /// stay.
     pub fn set_options(&mut self, options: WindowedRetryOptions) {
         self.options = options;
     }
 
-    /// Notes a first attempt.
+    /// Records a first attempt.
     pub fn record_request(&mut self, now: Moment) {
-        self.slot(now).requests += 1;
+        self.bucket(now).requests += 1;
     }
 
-    /// Takes one repeat, where the window has one left.
+    /// Takes one retry from the budget; returns whether one was left.
     pub fn try_acquire(&mut self, now: Moment) -> bool {
-        // A slot that is partly outside counts whole for repeats and not at all for requests: counted for both, the
-        // window of requests is longer than the one in which repeats are compared with them.
-        let whole_from = now.saturating_sub(self.options.window);
-        let partly_from = now.saturating_sub(self.options.window + self.slot_length());
-        let since = |from: Moment| self.slots.iter().filter(move |slot| slot.from >= from);
-        let requests: u32 = since(whole_from).map(|slot| slot.requests).sum();
-        let repeats: u32 = since(partly_from).map(|slot| slot.repeats).sum();
+        // A bucket that lies partly outside the window counts in full for retries and not at all
+        // for requests. If it counted for both, requests would be summed over a longer window than
+        // the one in which retries are compared with them.
+        let full_from = now.saturating_sub(self.options.window);
+        let partly_from = now.saturating_sub(self.options.window + self.bucket_length());
+        let since = |from: Moment| self.buckets.iter().filter(move |bucket| bucket.from >= from);
+        let requests: u32 = since(full_from).map(|bucket| bucket.requests).sum();
+        let retries: u32 = since(partly_from).map(|bucket| bucket.retries).sum();
         let allowed = f64::from(requests) * self.options.ratio + self.options.allowance;
 
-        if f64::from(repeats) + 1.0 > allowed {
+        if f64::from(retries) + 1.0 > allowed {
             return false;
         }
 
-        self.slot(now).repeats += 1;
+        self.bucket(now).retries += 1;
         true
     }
 
-    fn slot_length(&self) -> Duration {
-        self.options.window / SLOTS_PER_WINDOW
+    fn bucket_length(&self) -> Duration {
+        self.options.window / BUCKETS_PER_WINDOW
     }
 
-    fn slot(&mut self, now: Moment) -> &mut Slot {
-        let length = self.slot_length();
+    fn bucket(&mut self, now: Moment) -> &mut Bucket {
+        let length = self.bucket_length();
         let oldest = now.saturating_sub(self.options.window * 2);
 
-        while self.slots.front().is_some_and(|s| s.from < oldest) {
-            self.slots.pop_front();
+        while self.buckets.front().is_some_and(|s| s.from < oldest) {
+            self.buckets.pop_front();
         }
 
-        let is_current = |s: &Slot| now < s.from + length;
+        let is_current = |s: &Bucket| now < s.from + length;
 
-        if !self.slots.back().is_some_and(is_current) {
-            self.slots.push_back(Slot { from: now, requests: 0, repeats: 0 });
+        if !self.buckets.back().is_some_and(is_current) {
+            self.buckets.push_back(Bucket { from: now, requests: 0, retries: 0 });
         }
 
-        self.slots.back_mut().expect("a slot was pushed where there was none")
+        self.buckets.back_mut().expect("a bucket was pushed where there was none")
     }
 }
