--- a/grebedeck-gateway/src/outage.rs
+++ b/grebedeck-gateway/src/outage.rs
@@ -1,107 +1,110 @@
-//! Whether a service as a whole is out, and when it may be back.
+//! Detection of outages of a whole service, and when it may be back.
 //!
-//! The ranks of a group stop together, and form the group anew together. While they do, each of them
-//! refuses requests although it has room, or another start of it answers at its address. Sending every
-//! request to one of them tells nothing new, so single trials are made, and callers are told when to come
-//! back, or are held where the service is expected back soon.
+//! The ranks of a group stop together and form the group again together. Meanwhile each of them
+//! refuses requests although it has free slots, or another start of it answers at its address.
+//! Sending every request to one of them yields no new information, so single probes are sent.
+//! Callers are told when to come back, or are held if the service is expected back soon.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use grebedeck_core::{GroupId, Moment};
 
-/// Settings of the judgement.
+/// Settings of the outage detection.
 #[derive(Clone, Copy, Debug)]
 pub struct OutageOptions {
-    /// Failures in a row, without any success, after which a service is taken for out.
+    /// Consecutive failures after which a service counts as out.
     pub failure_threshold: u32,
-    /// How long an outage is expected to last: what engines wait for a lost rank, and what a group needs
-    /// to form.
+    /// Expected length of an outage: the time for which engines wait for a lost rank, plus the time
+    /// that a group takes to form.
     pub expected_duration: Duration,
-    /// What is expected once an outage has lasted longer than that.
+    /// Estimated remaining time once an outage has lasted longer than expected.
     pub overdue_estimate: Duration,
-    /// How long the group's own word on whether it is open outweighs what requests show.
+    /// How long a group's own report on whether it is open takes precedence over the outcomes of
+    /// requests.
     pub report_lifetime: Duration,
-    /// Pause between two trials: a few round trips, so that a return is noticed at once.
+    /// Interval between probes: a few round trips, so that a recovery is noticed at once.
     pub probe_interval: Duration,
 }
 
-/// Whether a service is expected to take requests.
+/// Whether a service is expected to accept requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Availability {
-    /// It takes requests, for all that is known.
+    /// Accepting requests, as far as is known.
     Up,
-    /// It is expected back after this time.
+    /// Out; expected back after this time.
     Out(Duration),
 }
 
-/// What is known of one service.
+/// Outage state of one service.
 #[derive(Clone, Debug)]
 pub struct Outage {
     options: OutageOptions,
     failures: u32,
     since: Moment,
-    tried_at: Option<Moment>,
-    /// What each group said last; a service may have several.
-    groups: BTreeMap<GroupId, Word>,
+    probed_at: Option<Moment>,
+    /// Latest report of each group; a service may have several.
+    groups: BTreeMap<GroupId, GroupReport>,
 }
 
-/// A group's own word on whether it makes passes.
+/// A group's own report on whether it makes passes.
 #[derive(Clone, Copy, Debug)]
-struct Word {
-    /// The newest formation that was told of.
+struct GroupReport {
+    /// Number of the newest formation that was reported.
     formation: u64,
     is_open: bool,
-    /// How long it is believed, and words of earlier formations are not.
-    until: Moment,
+    /// Until when the report is valid and reports of earlier formations are ignored.
+    expires_at: Moment,
 }
 
 impl Outage {
-    /// Makes the view of a service that nothing is known of; `since` is when an outage would have begun
-    /// that is found by the first requests.
+    /// Creates the state of a service without any observations. If the first requests find an
+    /// outage, it counts as having begun at `since`.
     pub fn new(options: OutageOptions, since: Moment) -> Self {
-        Outage { options, failures: 0, since, tried_at: None, groups: BTreeMap::new() }
+        Outage { options, failures: 0, since, probed_at: None, groups: BTreeMap::new() }
     }
 
-    /// Notes that a target took a request; tells whether that ended an outage.
+    /// Records that a target accepted a request; returns whether that ended an outage.
     pub fn record_success(&mut self, now: Moment) -> bool {
         let was_out = self.is_out();
         self.failures = 0;
         self.since = now;
-        self.tried_at = None;
+        self.probed_at = None;
 
         was_out
     }
 
-    /// Notes that a group of the service says that it makes passes; tells whether that ended an outage.
+    /// Records a group's report that it makes passes; returns whether that ended an outage.
     /// `formation` counts how often the group has formed.
     pub fn record_open(&mut self, group: GroupId, formation: u64, now: Moment) -> bool {
-        self.note_word(group, formation, true, now) && self.is_out() && self.record_success(now)
+        self.store_report(group, formation, true, now) && self.is_out() && self.record_success(now)
     }
 
-    /// Notes that a target with room took no request; tells whether the service is out since then. While
-    /// the group itself says that it is open, failures are those of single targets or connections.
+    /// Records a failed request to a target with free slots; returns whether that started an
+    /// outage. While the group itself reports that it is open, failures are those of single targets
+    /// or connections and do not count.
     pub fn record_failure(&mut self, now: Moment) -> bool {
-        if self.has_group(true, now) {
+        if self.has_reporting_group(true, now) {
             return false;
         }
 
         self.record_refusal()
     }
 
-    /// Notes that a target with room refused a request; tells whether the service is out since then. A
-    /// group whose ranks are gone says that it is open until it has given them up, and refuses already.
+    /// Records a refusal by a target with free slots; returns whether that started an outage. This
+    /// counts while the group reports that it is open, as a group whose ranks are gone does so
+    /// until it has given them up, and already refuses requests.
     pub fn record_refusal(&mut self) -> bool {
         self.failures = self.failures.saturating_add(1);
 
         self.failures == self.options.failure_threshold
     }
 
-    /// Notes that a group of the service says that it makes no passes; tells whether the service is out
-    /// since then, as no other group is open. A rank that has not yet noticed the newest formation is late,
-    /// not closed.
+    /// Records a group's report that it makes no passes; returns whether that started an outage, as
+    /// no other group is open. A report of an older formation comes from a rank that has not yet
+    /// noticed the newest one, and does not count.
     pub fn record_closed(&mut self, group: GroupId, formation: u64, now: Moment) -> bool {
-        if !self.note_word(group, formation, false, now) || self.has_group(true, now) {
+        if !self.store_report(group, formation, false, now) || self.has_reporting_group(true, now) {
             return false;
         }
 
@@ -111,16 +114,16 @@
         !was_out
     }
 
-    /// Tells whether a group has said lately that it makes no passes.
+    /// Whether a group's current report is that it makes no passes.
     pub fn is_closed(&self, group: GroupId, now: Moment) -> bool {
-        self.groups.get(&group).is_some_and(|word| !word.is_open && now < word.until)
+        self.groups.get(&group).is_some_and(|report| !report.is_open && now < report.expires_at)
     }
 
-    fn has_group(&self, is_open: bool, now: Moment) -> bool {
-        self.groups.values().any(|word| word.is_open == is_open && now < word.until)
+    fn has_reporting_group(&self, is_open: bool, now: Moment) -> bool {
+        self.groups.values().any(|report| report.is_open == is_open && now < report.expires_at)
     }
 
-    /// Gets whether the service is expected to take requests.
+    /// Whether the service is expected to accept requests, and otherwise when.
     pub fn availability(&self, now: Moment) -> Availability {
         if !self.is_out() {
             return Availability::Up;
@@ -134,38 +137,39 @@
         }
     }
 
-    /// Tells whether the service has been out for longer than outages are expected to last.
+    /// Whether the service has been out for longer than outages are expected to last.
     pub fn is_overdue(&self, now: Moment) -> bool {
         self.is_out() && now >= self.since + self.options.expected_duration
     }
 
-    /// Tells whether a single request may be sent to find out whether the service is back, and notes it.
-    /// While the group itself says that it is closed, each would only be refused.
+    /// Whether a single request may be sent now to probe whether the service is back; records the
+    /// probe if so. While the group itself reports that it is closed, a probe would only be
+    /// refused.
     pub fn try_probe(&mut self, now: Moment) -> bool {
-        if self.has_group(false, now) && !self.has_group(true, now) {
+        if self.has_reporting_group(false, now) && !self.has_reporting_group(true, now) {
             return false;
         }
 
-        let is_due = self.tried_at.is_none_or(|at| now >= at + self.options.probe_interval);
+        let is_due = self.probed_at.is_none_or(|at| now >= at + self.options.probe_interval);
 
         if is_due {
-            self.tried_at = Some(now);
+            self.probed_at = Some(now);
         }
 
         is_due
     }
 
-    /// Notes a group's word; tells whether it counts, as no newer formation was told of lately. Where nobody
-    /// tells of the newer one any more, the group may have begun to count anew.
-    fn note_word(&mut self, group: GroupId, formation: u64, is_open: bool, now: Moment) -> bool {
+    /// Stores a group's report; returns whether it counts. A report of an older formation does not,
+    /// unless the report of the newer one has expired: the group may then have begun to count anew.
+    fn store_report(&mut self, group: GroupId, formation: u64, is_open: bool, now: Moment) -> bool {
         let before = self.groups.get(&group);
 
-        if before.is_some_and(|word| formation < word.formation && now < word.until) {
+        if before.is_some_and(|report| formation < report.formation && now < report.expires_at) {
             return false;
         }
 
-        let until = now + self.options.report_lifetime;
-        self.groups.insert(group, Word { formation, is_open, until });
+        let expires_at = now + self.options.report_lifetime;
+        self.groups.insert(group, GroupReport { formation, is_open, expires_at });
         true
     }
 
--- a/grebedeck-gateway/src/refusals.rs
+++ b/grebedeck-gateway/src/refusals.rs
@@ -1,13 +1,16 @@
-//! Targets that refuse requests, and when they are sent to again.
+//! Targets that refuse requests, and when requests are sent to them again.
 //!
-//! The load that this answers: some of a service's targets turn everything away for seconds while the others have
-//! room. A target that refuses has nothing to do, so by its load it looks like the best one of all. With five of
-//! sixteen targets refusing, those five got 63 of 100 requests, and callers, whose two tries often met two of them, were
-//! refused although eleven targets had room.
+//! The case to handle: some of a service's targets turn everything away for seconds while the
+//! others have free slots. A refusing target is idle, so by its load it looks like the best choice.
+//! With five of sixteen targets refusing, those five got 63 of 100 requests. Callers have two
+//! tries, which often met two refusing targets, so they were refused although eleven targets had
+//! free slots.
 //!
-//! A target that asks for rest gets nothing until that is over, whatever else is known of it. One that refuses without
-//! a word gets nothing for a pause that doubles. After either it is on trial: one request at a time, until it takes
-//! one. A trial that is refused costs a repeat, so trials stay a part of all requests that the budget of repeats bears.
+//! A target that asks for a delay (`Retry-After`) gets nothing until that has passed, whatever else
+//! is known of it. A target that refuses without one gets nothing during a backoff that doubles.
+//! After either, the target is on probation: it gets one probe request at a time until it accepts
+//! one. A probe that is refused costs a retry, so probes are limited to a ratio of all requests
+//! that the retry budget allows for.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -18,154 +21,157 @@
 use crate::rest::RetryAfter;
 use crate::targets::{TargetEntry, TargetId};
 
-/// Pause of a target that refused for the first time: some round trips, in which a place may become free.
-const FIRST_PAUSE: Duration = Duration::from_millis(50);
-/// Longest pause: callers wait no longer than that for the only target of a service to be tried again.
-const MAX_PAUSE: Duration = Duration::from_secs(1);
-/// How long the outcome of a trial is waited for: longer than a target needs for the head of an answer. A trial may
-/// end without one, as its caller left.
-const TRIAL_LIMIT: Duration = Duration::from_secs(1);
-/// Trials for each request that is sent: half of the repeats that a budget usually allows.
-const TRIAL_PART: f64 = 0.1;
-/// Trials that may be saved up, so that some targets that come back at the same time are found at once.
-const MAX_SAVED: f64 = 3.0;
-/// How long a target is remembered that refused and was not tried again since.
-const MEMORY: Duration = Duration::from_secs(30);
-
-/// What is known of a target that refuses.
+/// Backoff after the first refusal: some round trips, in which a slot may become free.
+const FIRST_BACKOFF: Duration = Duration::from_millis(50);
+/// Upper bound of the backoff, and so of the time that callers wait until the only target of a
+/// service is probed again.
+const MAX_BACKOFF: Duration = Duration::from_secs(1);
+/// How long the outcome of a probe is awaited: longer than a target takes to send a response head.
+/// A probe may end without an outcome if its caller leaves.
+const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
+/// Probes per request sent: half of the retries that a budget usually allows.
+const PROBES_PER_REQUEST: f64 = 0.1;
+/// Probes that may accumulate, so that some targets that recover at the same time are found at
+/// once.
+const MAX_PROBE_TOKENS: f64 = 3.0;
+/// How long a refusing target is remembered without being tried again.
+const RETENTION: Duration = Duration::from_secs(30);
+
+/// State of a target that refuses requests.
 #[derive(Clone, Debug)]
-struct Refusing {
+struct RefusingTarget {
     service: ServiceName,
-    /// Until when the target itself wants nothing.
-    rest: RetryAfter,
-    /// Until when it gets nothing, as it refused.
-    pause_until: Moment,
-    /// Pauses since it last took a request; none if nothing but its rest is known.
-    pauses: u32,
-    /// Until when the outcome of a trial is waited for.
-    trial_until: Option<Moment>,
+    /// Delay that the target itself asked for.
+    retry_after: RetryAfter,
+    /// End of the backoff after a refusal.
+    backoff_until: Moment,
+    /// Backoffs since the target last accepted a request; 0 if only a requested delay is known.
+    backoffs: u32,
+    /// Deadline for the outcome of the current probe.
+    probe_deadline: Option<Moment>,
 }
 
-impl Refusing {
-    fn is_on_trial(&self) -> bool {
-        self.pauses > 0
+impl RefusingTarget {
+    fn is_on_probation(&self) -> bool {
+        self.backoffs > 0
     }
 
-    fn may_be_tried(&self, now: Moment) -> bool {
-        now >= self.pause_until && self.trial_until.is_none_or(|until| now >= until)
+    fn may_be_probed(&self, now: Moment) -> bool {
+        now >= self.backoff_until && self.probe_deadline.is_none_or(|until| now >= until)
     }
 }
 
-/// What a refusal changed.
+/// Effect of a refusal on what is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RefusalEffect {
-    /// Nothing: more was known already.
+    /// None; the target was already known to refuse.
     None,
-    /// The target asks for rest.
+    /// The target asked for a delay.
     RetryAfterRequested,
-    /// The target has refused without a word on rest, and gets nothing for this time.
+    /// The target refused without asking for a delay, and is backed off for this time.
     BackedOff(Duration),
 }
 
-/// Targets that refuse.
+/// Refusing targets of all services.
 #[derive(Clone, Debug, Default)]
 pub struct Refusals {
-    targets: HashMap<TargetId, Refusing>,
-    /// Trials that may be made, by service; as many as can be saved where nothing was sent yet.
-    saved: HashMap<ServiceName, f64>,
+    targets: HashMap<TargetId, RefusingTarget>,
+    /// Probe tokens by service; [`MAX_PROBE_TOKENS`] for a service that no request was sent to yet.
+    probe_tokens: HashMap<ServiceName, f64>,
 }
 
 impl Refusals {
-    /// Notes that a target refused a request; `asked` is for how long it wants nothing, if it says so.
+    /// Records a refusal. `asked` is the delay that the target asked for, if any.
     pub fn record_refusal(
         &mut self,
         target: &TargetEntry,
         asked: Option<Duration>,
         now: Moment,
     ) -> RefusalEffect {
-        let known = self.targets.entry(target.id.clone()).or_insert_with(|| Refusing {
+        let known = self.targets.entry(target.id.clone()).or_insert_with(|| RefusingTarget {
             service: target.service.clone(),
-            rest: RetryAfter::default(),
-            pause_until: now,
-            pauses: 0,
-            trial_until: None,
+            retry_after: RetryAfter::default(),
+            backoff_until: now,
+            backoffs: 0,
+            probe_deadline: None,
         });
-        let rested = known.rest.is_active(now);
-        // Requests that were on their way together are refused together, and say no more than one of them.
-        let is_first = now >= known.pause_until && !rested;
-        known.rest.extend(asked.unwrap_or_default(), now);
-        known.trial_until = None;
+        let was_delayed = known.retry_after.is_active(now);
+        // Requests in flight at the same time are refused together and count as one refusal.
+        let is_first = now >= known.backoff_until && !was_delayed;
+        known.retry_after.extend(asked.unwrap_or_default(), now);
+        known.probe_deadline = None;
 
         if is_first {
-            let pause = (FIRST_PAUSE * (1 << known.pauses.min(8))).min(MAX_PAUSE);
-            known.pauses += 1;
-            known.pause_until = now + pause;
+            let backoff = (FIRST_BACKOFF * (1 << known.backoffs.min(8))).min(MAX_BACKOFF);
+            known.backoffs += 1;
+            known.backoff_until = now + backoff;
         }
 
-        match known.rest.is_active(now) {
-            true if !rested => RefusalEffect::RetryAfterRequested,
-            false if is_first => RefusalEffect::BackedOff(known.pause_until - now),
+        match known.retry_after.is_active(now) {
+            true if !was_delayed => RefusalEffect::RetryAfterRequested,
+            false if is_first => RefusalEffect::BackedOff(known.backoff_until - now),
             _ => RefusalEffect::None,
         }
     }
 
-    /// Notes that a target refused a request as it is full, which its load says: that is no outcome of a trial.
+    /// Records a refusal by a target whose load report says that it is full, which is not an
+    /// outcome of a probe.
     pub fn record_full(&mut self, target: &str) {
         if let Some(known) = self.targets.get_mut(target) {
-            known.trial_until = None;
+            known.probe_deadline = None;
         }
     }
 
-    /// Notes that a target took a request; tells whether it had refused before. While it rests that says nothing: the
-    /// request was sent before.
+    /// Records that a target accepted a request; returns whether it was known to refuse. During a
+    /// requested delay this has no effect, as the request was sent before the delay began.
     pub fn record_accepted(&mut self, target: &TargetEntry, now: Moment) -> bool {
         let Some(known) = self.targets.get(&target.id) else {
             return false;
         };
 
-        if known.rest.is_active(now) {
+        if known.retry_after.is_active(now) {
             return false;
         }
 
-        if known.trial_until.is_some() {
-            self.change_saved(&target.service, 1.0);
+        if known.probe_deadline.is_some() {
+            self.add_probe_tokens(&target.service, 1.0);
         }
 
         self.targets.remove(&target.id);
         true
     }
 
-    /// Notes that a request is sent to a target; tells whether that is a trial.
+    /// Records that a request is sent to a target; returns whether it is a probe.
     pub fn record_sent(&mut self, target: &TargetEntry, now: Moment) -> bool {
-        let known = self.targets.get_mut(&target.id).filter(|known| known.is_on_trial());
-        let is_trial = known.is_some();
+        let known = self.targets.get_mut(&target.id).filter(|known| known.is_on_probation());
+        let is_probe = known.is_some();
 
         if let Some(known) = known {
-            known.trial_until = Some(now + TRIAL_LIMIT);
+            known.probe_deadline = Some(now + PROBE_TIMEOUT);
         }
 
-        self.change_saved(&target.service, if is_trial { -1.0 } else { TRIAL_PART });
+        self.add_probe_tokens(&target.service, if is_probe { -1.0 } else { PROBES_PER_REQUEST });
 
-        is_trial
+        is_probe
     }
 
-    /// Adds to the trials of a service that may be made. It is done for each request, so a known service's name is not
-    /// copied.
-    fn change_saved(&mut self, service: &str, change: f64) {
-        let changed = |saved: f64| (saved + change).clamp(0.0, MAX_SAVED);
+    /// Adds to a service's probe tokens. This runs for every request, so the name of a known
+    /// service is not copied.
+    fn add_probe_tokens(&mut self, service: &str, change: f64) {
+        let changed = |tokens: f64| (tokens + change).clamp(0.0, MAX_PROBE_TOKENS);
 
-        match self.saved.get_mut(service) {
-            Some(saved) => *saved = changed(*saved),
-            None => drop(self.saved.insert(service.to_string(), changed(MAX_SAVED))),
+        match self.probe_tokens.get_mut(service) {
+            Some(tokens) => *tokens = changed(*tokens),
+            None => drop(self.probe_tokens.insert(service.to_string(), changed(MAX_PROBE_TOKENS))),
         }
     }
 
-    /// Gets how much longer a target rests.
+    /// Remaining delay that a target asked for; zero if none.
     pub fn retry_after(&self, target: &str, now: Moment) -> Duration {
-        self.targets.get(target).map_or(Duration::ZERO, |known| known.rest.remaining(now))
+        self.targets.get(target).map_or(Duration::ZERO, |known| known.retry_after.remaining(now))
     }
 
-    /// Gets after which time the first of some targets has rested, where all of them rest.
+    /// Time until the first of the targets may be used again, if all of them asked for a delay.
     pub fn min_retry_after(&self, targets: &[Arc<TargetEntry>], now: Moment) -> Option<Duration> {
         if self.targets.is_empty() {
             return None;
@@ -176,23 +182,24 @@
         (!left.is_zero()).then_some(left)
     }
 
-    /// Gets those of some targets that do not rest.
+    /// Targets without a requested delay.
     pub fn without_retry_after(
         &self,
         targets: &Arc<[Arc<TargetEntry>]>,
         now: Moment,
     ) -> Arc<[Arc<TargetEntry>]> {
-        let rests = |target: &Arc<TargetEntry>| !self.retry_after(&target.id, now).is_zero();
+        let is_delayed = |target: &Arc<TargetEntry>| !self.retry_after(&target.id, now).is_zero();
 
-        if self.targets.is_empty() || !targets.iter().any(rests) {
+        if self.targets.is_empty() || !targets.iter().any(is_delayed) {
             return targets.clone();
         }
 
-        targets.iter().filter(|target| !rests(target)).cloned().collect()
+        targets.iter().filter(|target| !is_delayed(target)).cloned().collect()
     }
 
-    /// Gets those of a service's targets that a request may be sent to: those that take requests, and those that may be
-    /// tried. A request that was refused once is no trial again while others take requests, as callers have few tries.
+    /// Targets of a service that a request may be sent to: those that accept requests, and those
+    /// that may be probed. A request that was already refused is not used as a probe while other
+    /// targets accept requests, as callers have few tries.
     pub fn eligible<'a>(
         &self,
         targets: Vec<&'a Arc<TargetEntry>>,
@@ -200,47 +207,51 @@
         now: Moment,
     ) -> Vec<&'a Arc<TargetEntry>> {
         let known = |target: &Arc<TargetEntry>| self.targets.get(&target.id);
-        let takes = |target: &Arc<TargetEntry>| known(target).is_none_or(|k| !k.is_on_trial());
-        let may_be_tried =
-            |target: &Arc<TargetEntry>| known(target).is_none_or(|k| k.may_be_tried(now));
+        let accepts =
+            |target: &Arc<TargetEntry>| known(target).is_none_or(|k| !k.is_on_probation());
+        let may_be_probed =
+            |target: &Arc<TargetEntry>| known(target).is_none_or(|k| k.may_be_probed(now));
 
         if self.targets.is_empty() {
             return targets;
         }
 
-        // Where all of them refuse there is nobody to go to in place of a trial.
-        let is_some_left = targets.iter().any(|target| takes(target));
-        let has_saved = |service: &str| self.saved.get(service).is_none_or(|saved| *saved >= 1.0);
-        let is_service_tried = |target: &Arc<TargetEntry>| {
-            !is_some_left || (is_first_try && has_saved(&target.service))
+        // If all of them refuse, there is no alternative to a probe.
+        let has_accepting_target = targets.iter().any(|target| accepts(target));
+        let has_probe_token =
+            |service: &str| self.probe_tokens.get(service).is_none_or(|tokens| *tokens >= 1.0);
+        let may_probe_service = |target: &Arc<TargetEntry>| {
+            !has_accepting_target || (is_first_try && has_probe_token(&target.service))
         };
-        let is_for_it = |target: &&Arc<TargetEntry>| {
-            takes(target) || (may_be_tried(target) && is_service_tried(target))
+        let is_eligible = |target: &&Arc<TargetEntry>| {
+            accepts(target) || (may_be_probed(target) && may_probe_service(target))
         };
 
-        targets.into_iter().filter(is_for_it).collect()
+        targets.into_iter().filter(is_eligible).collect()
     }
 
-    /// Notes that a target has started again. Its refusals are those of the earlier start; its rest stays, as the list
-    /// lags and the next start may have asked for it already.
+    /// Records that a target has restarted. Its refusals belong to the earlier start and are
+    /// dropped. A requested delay stays, as the list lags and the new start may already have asked
+    /// for it.
     pub fn record_restart(&mut self, target: &str) {
         if let Some(known) = self.targets.get_mut(target) {
-            known.pauses = 0;
-            known.pause_until = Moment::ZERO;
-            known.trial_until = None;
+            known.backoffs = 0;
+            known.backoff_until = Moment::ZERO;
+            known.probe_deadline = None;
         }
     }
 
-    /// Notes that a service that was out is back: what its targets refused meanwhile says nothing any more, but for the
-    /// rest that they asked for.
+    /// Records that a service has recovered from an outage. Refusals during the outage are dropped,
+    /// except for delays that targets asked for.
     pub fn record_recovery(&mut self, service: &str, now: Moment) {
-        self.targets.retain(|_, known| known.service != service || known.rest.is_active(now));
+        self.targets
+            .retain(|_, known| known.service != service || known.retry_after.is_active(now));
     }
 
-    /// Forgets targets that refused long ago.
+    /// Removes targets that refused long ago.
     pub fn remove_expired(&mut self, now: Moment) {
-        let last = |known: &Refusing| known.rest.until().max(known.pause_until);
+        let last = |known: &RefusingTarget| known.retry_after.until().max(known.backoff_until);
 
-        self.targets.retain(|_, known| now < last(known) + MEMORY);
+        self.targets.retain(|_, known| now < last(known) + RETENTION);
     }
 }
