--- a/grebedeck-gateway/src/targets.rs
+++ b/grebedeck-gateway/src/targets.rs
@@ -1,11 +1,12 @@
 //! The targets that the platform lists, as one process knows them.
 //!
-//! A target is known by its id and, where it tells it, by the time of its start; addresses are used again by
-//! others. The list lags, and while the store is away entries lapse although their targets live. Such
-//! a target is kept until the store has been back for long enough that it would be listed again.
+//! A target is identified by its id and, if it reports one, its start time; addresses are reused by
+//! others. The list lags, and while the store is unavailable entries expire although their targets
+//! are alive. Such a target is kept until the store has been back for long enough to list it again.
 //!
-//! Others may write entries as well. One that cannot be read names no target to use: a target that was known
-//! under its id gets no new work until a good entry comes, and all other entries hold.
+//! Others may write entries as well. An unreadable entry names no usable target: a target already
+//! known under its id gets no new work until a readable entry arrives, and all other entries stay
+//! valid.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::net::SocketAddr;
@@ -21,71 +22,72 @@
 use crate::leaving::LeavingNotices;
 use crate::source::{StoreVersion, TargetChange};
 
-/// Id of a target; where targets tell the time of their start, the next start may have it again.
+/// Id of a target. Where targets report their start time, the next start may reuse it.
 pub type TargetId = String;
 
-/// How long after the store's return a missing target may still be listed again. The operators
-/// promise that targets that live are back within about two seconds of it.
+/// How long after the store's recovery a missing target may still be listed again. The operators
+/// promise that live targets are back within about two seconds.
 const RELIST_LIMIT: Duration = Duration::from_secs(2);
 
-/// Whether a target takes work.
+/// Whether a target accepts new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TargetState {
-    /// It takes work.
+    /// Accepting new work.
     Serving,
-    /// It will end soon and takes no new work.
+    /// Shutting down soon; no new work.
     Leaving,
 }
 
 /// A target as the platform lists it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TargetEntry {
-    /// Its id.
+    /// Id of the target.
     pub id: TargetId,
-    /// The service that it offers.
+    /// Service that the target offers.
     pub service: ServiceName,
-    /// Its address.
+    /// Address of the target.
     pub address: SocketAddr,
-    /// The hall that it stands in.
+    /// Data hall of the target.
     pub hall: HallName,
-    /// Requests that it works on at the same time.
+    /// Requests that the target works on at the same time.
     pub slots: u32,
-    /// Whether it takes work.
+    /// Whether the target accepts new work.
     pub state: TargetState,
-    /// Unix milliseconds of its start by its own clock, where it tells them. They are compared for one target
-    /// only, as clocks differ, and only for being the same: of two, the one that was written later counts.
+    /// Start time by the target's own clock, in Unix milliseconds, if reported. Clocks differ, so
+    /// the times are compared only for equality and only for the same target: of two starts, the
+    /// one whose entry was written later counts.
     pub born_ms: Birth,
-    /// How much longer it is cold, as of when the entry was written.
+    /// Remaining time for which the target is cold, as of when the entry was written.
     pub cold: Duration,
 }
 
 impl TargetEntry {
-    /// Tells whether another entry is of the same start of the target.
+    /// Whether another entry is of the same start of the same target.
     pub fn is_same_start(&self, other: &TargetEntry) -> bool {
         self.id == other.id && self.born_ms == other.born_ms
     }
 }
 
-/// A target's entry with the store's version of it.
+/// A target's entry with its version in the store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListedTarget {
-    /// The store's version of the entry.
+    /// Version of the entry in the store.
     pub version: StoreVersion,
-    /// The entry.
+    /// The entry itself.
     pub entry: TargetEntry,
 }
 
-/// The whole list.
+/// Complete list of targets.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TargetListing {
-    /// The targets.
+    /// Readable entries.
     pub targets: Vec<ListedTarget>,
-    /// Ids whose entries cannot be read, with the store's version of each and what is wrong.
+    /// Ids with unreadable entries: the id, the version in the store and the error.
     pub unreadable: Vec<(TargetId, StoreVersion, String)>,
 }
 
 impl TargetListing {
-    /// Removes the entry of an id, whether it can be read or not.
+    /// Removes the entry of an id, whether it is readable or not.
     pub(crate) fn remove(&mut self, id: &str) {
         self.targets.retain(|listed| listed.entry.id != id);
         self.unreadable.retain(|(other, ..)| other != id);
@@ -109,83 +111,84 @@
 }
 
 #[derive(Clone, Debug)]
-struct Known {
+struct KnownTarget {
     entry: Arc<TargetEntry>,
     version: StoreVersion,
-    /// When a target that the list has lost is taken for gone.
-    lapses_at: Option<Moment>,
+    /// When a target that is missing from the list is removed.
+    removal_due_at: Option<Moment>,
 }
 
-/// What a change of the list did to one target.
+/// Effect of a list update on one target.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ListEvent {
-    /// It was listed for the first time, or again.
+    /// Listed for the first time, or again.
     Listed(Arc<TargetEntry>),
-    /// It has started again under its id; nothing that was known of the earlier start holds.
+    /// Restarted under the same id; nothing known of the earlier start applies.
     Restarted(Arc<TargetEntry>),
-    /// It takes no new work from now on, by the list.
+    /// No new work from now on, according to the list.
     Leaving(TargetId),
-    /// It takes no new work from now on, by its own word.
+    /// No new work from now on, as the target announced in a response.
     AnnouncedLeaving(TargetId),
-    /// It is gone.
+    /// Removed.
     Removed(TargetId),
-    /// The list has lost it while the store was not itself; it is kept for a while.
+    /// Missing from the list shortly after a store failure; kept for a while.
     Lapsed(TargetId),
-    /// Its entry cannot be read, so it gets no new work; told once until a good one comes.
+    /// Unreadable entry, so the target gets no new work; reported once until a readable entry
+    /// arrives.
     Unreadable {
-        /// The target.
+        /// Id of the target.
         id: TargetId,
-        /// What is wrong.
+        /// What is wrong with the entry.
         reason: String,
     },
 }
 
-/// The process whose subset of each service's targets is wanted.
+/// The process for which a subset of each service's targets is selected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SubsetView {
-    /// The process's name.
+    /// Name of the process.
     pub process: String,
-    /// The hall that it stands in.
+    /// Data hall of the process.
     pub hall: HallName,
     /// Settings of the subset.
     pub options: SubsetOptions,
 }
 
-/// All targets that are known.
+/// All known targets, with indexes by service and by address.
 #[derive(Clone, Debug, Default)]
 pub struct TargetList {
-    known: BTreeMap<TargetId, Known>,
+    known: BTreeMap<TargetId, KnownTarget>,
     serving: HashMap<ServiceName, Arc<[Arc<TargetEntry>]>>,
-    /// Those of them that this process deals with.
+    /// Subset of `serving` that this process uses.
     candidates: HashMap<ServiceName, Arc<[Arc<TargetEntry>]>>,
-    /// Who deals with which part of a service's targets; with all of them while that is not set.
-    view: Option<SubsetView>,
-    /// The newest target at each address, as every load that is told of is looked up by it.
+    /// Process to select subsets for; all targets are used while it is not set.
+    subset_view: Option<SubsetView>,
+    /// The newest target at each address. Load reports are looked up by address.
     by_address: HashMap<SocketAddr, (StoreVersion, Arc<TargetEntry>)>,
     version: StoreVersion,
-    /// Ids whose newest entries cannot be read, with the store's version of it and what is wrong.
+    /// Ids whose newest entries are unreadable, with the version in the store and the error.
     unreadable: BTreeMap<TargetId, (StoreVersion, String)>,
-    /// Targets whose entries were written anew, until they are taken.
-    heard: Vec<Arc<TargetEntry>>,
-    /// Services that the configuration names, once it is known.
+    /// Targets whose entries were rewritten since the last call of [`TargetList::take_updated`].
+    updated: Vec<Arc<TargetEntry>>,
+    /// Services named in the configuration, once it is known.
     services: Option<BTreeSet<ServiceName>>,
-    /// Whether the store's last answer is missing.
+    /// Whether the last call to the store failed.
     is_store_failing: bool,
-    /// When the store first answered again.
-    returned_at: Option<Moment>,
+    /// When the store first answered after its last failure.
+    store_recovered_at: Option<Moment>,
     evacuations: Evacuations,
-    /// Targets that said in an answer that they leave, whatever the list says.
+    /// Targets that announced in a response that they are shutting down, whatever the list says.
     leaving: LeavingNotices,
-    /// When the list, or changes of it, were taken in last, and the time before that.
-    taken_at: (Moment, Moment),
-    /// Services all of whose targets stand in evacuated halls.
-    evacuated: HashSet<ServiceName>,
-    /// The moment that the lists of targets that take work stand for.
+    /// Times of the last update of the list and of the one before.
+    applied_at: (Moment, Moment),
+    /// Services all of whose targets are in evacuated halls.
+    evacuated_services: HashSet<ServiceName>,
+    /// The time for which the indexes were computed.
     indexed_at: Moment,
 }
 
 impl TargetList {
-    /// Takes in a whole list; gives what changed.
+    /// Applies a complete list; returns the changes.
     pub fn apply_snapshot(
         &mut self,
         version: StoreVersion,
@@ -196,14 +199,15 @@
             return Vec::new();
         }
 
-        self.note_return(now);
+        self.begin_update(now);
 
         let TargetListing { targets, unreadable } = listing.into();
         let readable = targets.iter().map(|listed| &listed.entry.id);
         let listed: HashSet<&TargetId> =
             readable.chain(unreadable.iter().map(|(id, ..)| id)).collect();
-        let here = self.known.keys().chain(self.unreadable.keys());
-        let missing: BTreeSet<TargetId> = here.filter(|id| !listed.contains(id)).cloned().collect();
+        let known_ids = self.known.keys().chain(self.unreadable.keys());
+        let missing: BTreeSet<TargetId> =
+            known_ids.filter(|id| !listed.contains(id)).cloned().collect();
         let mut events = Vec::new();
 
         for ListedTarget { version, entry } in targets {
@@ -215,21 +219,21 @@
         }
 
         for id in missing {
-            events.extend(self.lose(&id, version, now));
+            events.extend(self.remove_listed(&id, version, now));
         }
 
-        self.finish(version);
+        self.finish_update(version);
         events
     }
 
-    /// Takes in changes in their order; gives what changed.
+    /// Applies changes in order; returns their effects.
     pub fn apply_changes(
         &mut self,
         version: StoreVersion,
         changes: Vec<TargetChange>,
         now: Moment,
     ) -> Vec<ListEvent> {
-        self.note_return(now);
+        self.begin_update(now);
         let mut events = Vec::new();
 
         for change in changes {
@@ -238,7 +242,7 @@
                     events.extend(self.set(version, entry));
                 }
                 TargetChange::Removed { version, id } => {
-                    events.extend(self.lose(&id, version, now));
+                    events.extend(self.remove_listed(&id, version, now));
                 }
                 TargetChange::Unreadable { version, id, reason } => {
                     events.extend(self.set_unreadable(version, id, reason));
@@ -246,27 +250,27 @@
             }
         }
 
-        self.finish(version);
+        self.finish_update(version);
         events
     }
 
-    /// Notes that a target says in an answer that it leaves; gives what changed.
+    /// Records that a target announced in a response that it is shutting down; returns the changes.
     pub fn record_leaving(&mut self, target: &TargetEntry, now: Moment) -> Vec<ListEvent> {
         if !self.leaving.record(target, now) {
             return Vec::new();
         }
 
         self.indexed_at = now;
-        self.index();
+        self.rebuild_index();
         vec![ListEvent::AnnouncedLeaving(target.id.clone())]
     }
 
-    /// Notes that the store did not answer, or not as it should.
+    /// Records a failed call to the store.
     pub fn record_store_failure(&mut self) {
         self.is_store_failing = true;
     }
 
-    /// Changes what is known of evacuated halls.
+    /// Updates the evacuated halls.
     pub fn update_evacuations<T>(
         &mut self,
         change: impl FnOnce(&mut Evacuations) -> T,
@@ -274,157 +278,160 @@
     ) -> T {
         let changed = change(&mut self.evacuations);
         self.indexed_at = now;
-        self.index();
+        self.rebuild_index();
 
         changed
     }
 
-    /// Tells whether the lists of targets that take work stand for a moment that is longer ago than that, and evacuated
-    /// halls have changed them since.
+    /// Whether the indexes are older than `age` and the state of evacuated halls has changed since.
     pub fn is_index_stale(&self, age: Duration, now: Moment) -> bool {
         now > self.indexed_at + age && self.evacuations.moves_between(self.indexed_at, now)
     }
 
-    /// Notes that all words on halls up to a version are known.
+    /// Records that all hall updates up to a version of the store are known.
     pub fn advance_halls_version(&mut self, version: StoreVersion) {
         self.evacuations.known_up_to(version);
     }
 
-    /// Gets what is known of evacuated halls.
+    /// Evacuated halls.
     pub fn evacuations(&self) -> &Evacuations {
         &self.evacuations
     }
 
-    /// Tells whether targets of a service would take work, and all of them stand in evacuated halls.
+    /// Whether a service has targets that would accept work, all of them in evacuated halls.
     pub fn is_evacuated(&self, service: &str) -> bool {
-        self.evacuated.contains(service)
+        self.evacuated_services.contains(service)
     }
 
-    fn note_return(&mut self, now: Moment) {
+    fn begin_update(&mut self, now: Moment) {
         self.indexed_at = now;
-        self.taken_at = (now, self.taken_at.0);
+        self.applied_at = (now, self.applied_at.0);
 
         if std::mem::take(&mut self.is_store_failing) {
-            self.returned_at = Some(now);
+            self.store_recovered_at = Some(now);
         }
     }
 
-    /// Drops lapsed targets whose time is over, and lets those of evacuated halls leave and return; gives what changed.
+    /// Removes missing targets whose time has passed and applies the changes that are due in
+    /// evacuated halls; returns the targets removed.
     pub fn tick(&mut self, now: Moment) -> Vec<ListEvent> {
-        let is_over = |known: &Known| known.lapses_at.is_some_and(|at| at <= now);
-        let over: Vec<TargetId> =
-            self.known.iter().filter(|(_, k)| is_over(k)).map(|(id, _)| id.clone()).collect();
+        let is_due = |known: &KnownTarget| known.removal_due_at.is_some_and(|at| at <= now);
+        let due: Vec<TargetId> =
+            self.known.iter().filter(|(_, k)| is_due(k)).map(|(id, _)| id.clone()).collect();
 
         let since = std::mem::replace(&mut self.indexed_at, now);
-        let some_stay = self.leaving.remove_expired(now);
+        let has_expired_notices = self.leaving.remove_expired(now);
 
-        if over.is_empty() && !some_stay && !self.evacuations.moves_between(since, now) {
+        if due.is_empty() && !has_expired_notices && !self.evacuations.moves_between(since, now) {
             return Vec::new();
         }
 
-        for id in &over {
+        for id in &due {
             self.known.remove(id);
         }
 
-        self.index();
-        over.into_iter().map(ListEvent::Removed).collect()
+        self.rebuild_index();
+        due.into_iter().map(ListEvent::Removed).collect()
     }
 
-    /// Takes a start of a target for gone, as another one has answered at its address. Of the next start, which
-    /// may be elsewhere, that says nothing.
+    /// Removes a start of a target, as another target has answered at its address. This has no
+    /// effect on a later start, which may be at another address.
     pub fn remove(&mut self, gone: &TargetEntry) {
         let known = self.known.get(&gone.id).map(|k| &k.entry);
 
         if known.is_some_and(|e| e.is_same_start(gone) && e.address == gone.address) {
             self.known.remove(&gone.id);
-            self.index();
+            self.rebuild_index();
         }
     }
 
-    /// Tells whether an entry is of an earlier start of its target than the one that is listed.
+    /// Whether an entry is of an earlier start of its target than the listed one.
     pub fn is_earlier_start(&self, entry: &TargetEntry) -> bool {
         self.get(&entry.id).is_some_and(|listed| !listed.is_same_start(entry))
     }
 
-    /// Takes the targets whose entries were written anew since this was done last.
+    /// Removes and returns the targets whose entries were rewritten since the last call.
     pub fn take_updated(&mut self) -> Vec<Arc<TargetEntry>> {
-        std::mem::take(&mut self.heard)
+        std::mem::take(&mut self.updated)
     }
 
-    /// Sets the services that the configuration names. An entry of another one names no target to use, and hides
-    /// none at its address.
+    /// Sets the services named in the configuration. Entries of other services name no usable
+    /// target, and do not hide targets at their address.
     pub fn set_services(&mut self, services: BTreeSet<ServiceName>) {
         self.services = Some(services);
-        self.index();
+        self.rebuild_index();
     }
 
-    /// Sets whose subset of each service's targets [`TargetList::candidates`] gives.
-    pub fn set_subset_view(&mut self, view: SubsetView) {
-        self.view = Some(view);
-        self.index();
+    /// Sets the process for which [`TargetList::candidates`] selects its subsets.
+    pub fn set_subset_view(&mut self, subset_view: SubsetView) {
+        self.subset_view = Some(subset_view);
+        self.rebuild_index();
     }
 
-    /// Gets the targets of a service that take work and that this process deals with: it hears their loads, and
-    /// chooses among them.
+    /// Targets of a service that accept work and that this process uses: it receives their load
+    /// reports and chooses among them.
     pub fn candidates(&self, service: &str) -> Option<&Arc<[Arc<TargetEntry>]>> {
         self.candidates.get(service)
     }
 
-    /// Gets all targets that this process deals with, with their services.
+    /// Targets of all services that this process uses.
     pub fn all_candidates(&self) -> impl Iterator<Item = &Arc<TargetEntry>> {
         self.candidates.values().flat_map(|targets| targets.iter())
     }
 
-    /// Gets the targets of a service that take work.
+    /// Targets of a service that accept work.
     pub fn serving(&self, service: &str) -> Option<&Arc<[Arc<TargetEntry>]>> {
         self.serving.get(service)
     }
 
-    /// Tells whether new work may go to a start of a target.
+    /// Whether new work may go to a start of a target.
     pub fn takes_work(&self, target: &TargetEntry) -> bool {
         self.serving(&target.service).is_some_and(|all| all.iter().any(|t| t.is_same_start(target)))
     }
 
-    /// Tells whether a start of a target said in an answer that it leaves.
+    /// Whether a start of a target announced in a response that it is shutting down.
     pub fn has_announced_leaving(&self, target: &TargetEntry) -> bool {
         self.leaving.contains(target, self.indexed_at)
     }
 
-    /// Gets the target that has an address now.
+    /// Newest target at an address.
     pub fn newest_at(&self, address: SocketAddr) -> Option<Arc<TargetEntry>> {
         self.by_address.get(&address).map(|(_, entry)| entry.clone())
     }
 
-    /// Gets a target.
+    /// Entry of a target.
     pub fn get(&self, id: &str) -> Option<&Arc<TargetEntry>> {
         self.known.get(id).map(|k| &k.entry)
     }
 
-    /// Gets all targets, those that leave included.
+    /// Entries of all targets, including those that are shutting down.
     pub fn all(&self) -> impl Iterator<Item = &Arc<TargetEntry>> {
         self.known.values().map(|k| &k.entry)
     }
 
-    /// Gets all targets that the list holds, with the store's versions of them.
+    /// Snapshot of the listed targets with their versions in the store. Targets that are missing
+    /// from the list are left out.
     pub fn listed(&self) -> TargetListing {
-        let listed = |k: &Known| ListedTarget { version: k.version, entry: (*k.entry).clone() };
-        let is_held = |k: &&Known| k.lapses_at.is_none() && self.is_readable(&k.entry.id);
+        let listed =
+            |k: &KnownTarget| ListedTarget { version: k.version, entry: (*k.entry).clone() };
+        let is_listed =
+            |k: &&KnownTarget| k.removal_due_at.is_none() && self.is_readable(&k.entry.id);
         let unreadable = self.unreadable.iter();
 
         TargetListing {
-            targets: self.known.values().filter(is_held).map(listed).collect(),
+            targets: self.known.values().filter(is_listed).map(listed).collect(),
             unreadable: unreadable
                 .map(|(id, (v, reason))| (id.clone(), *v, reason.clone()))
                 .collect(),
         }
     }
 
-    /// Tells whether the newest entry for an id can be read, or there is none.
+    /// Whether the newest entry of an id is readable; true without an entry.
     pub fn is_readable(&self, id: &str) -> bool {
         !self.unreadable.contains_key(id)
     }
 
-    /// Gets the version of the store up to which the list is known.
+    /// Version of the store up to which the list is known.
     pub fn version(&self) -> StoreVersion {
         self.version
     }
@@ -432,34 +439,37 @@
     fn set(&mut self, version: StoreVersion, entry: TargetEntry) -> Vec<ListEvent> {
         let before = self.known.get(&entry.id);
 
-        if self.newest_of(&entry.id).is_some_and(|newest| newest > version) {
+        if self.newest_version(&entry.id).is_some_and(|newest| newest > version) {
             return Vec::new();
         }
 
         if before.is_some_and(|k| k.entry.born_ms.is_some()) && entry.born_ms.is_none() {
-            // A target that tells its start always does.
+            // A target that reports its start time always does.
             let reason = "without the time of its start".to_string();
             return self.set_unreadable(version, entry.id, reason).into_iter().collect();
         }
 
-        let is_heard = before.is_none_or(|k| k.version < version);
+        let is_updated = before.is_none_or(|k| k.version < version);
         let is_restart = before.is_some_and(|k| !k.entry.is_same_start(&entry));
 
         if before.is_none_or(|k| !k.entry.is_same_start(&entry)) {
-            let (now, before) = self.taken_at;
+            let (now, before) = self.applied_at;
             self.leaving.record_start(&entry, before, now);
         }
 
         let was_leaving =
             !is_restart && before.is_some_and(|k| k.entry.state == TargetState::Leaving);
         let was_unreadable = self.unreadable.remove(&entry.id).is_some();
-        let is_new = before.is_none_or(|k| k.lapses_at.is_some()) || was_unreadable;
+        let is_new = before.is_none_or(|k| k.removal_due_at.is_some()) || was_unreadable;
         let (id, state) = (entry.id.clone(), entry.state);
         let entry = Arc::new(entry);
-        self.known.insert(id.clone(), Known { entry: entry.clone(), version, lapses_at: None });
+        self.known.insert(
+            id.clone(),
+            KnownTarget { entry: entry.clone(), version, removal_due_at: None },
+        );
 
-        if is_heard {
-            self.heard.push(entry.clone());
+        if is_updated {
+            self.updated.push(entry.clone());
         }
 
         let mut events = Vec::new();
@@ -477,20 +487,21 @@
         events
     }
 
-    /// Notes that the newest entry for an id cannot be read; gives an event where that is news.
+    /// Records that the newest entry of an id is unreadable; returns an event unless it already
+    /// was.
     fn set_unreadable(
         &mut self,
         version: StoreVersion,
         id: TargetId,
         reason: String,
     ) -> Option<ListEvent> {
-        if self.newest_of(&id).is_some_and(|newest| newest > version) {
+        if self.newest_version(&id).is_some_and(|newest| newest > version) {
             return None;
         }
 
         if let Some(known) = self.known.get_mut(&id) {
-            // It is in the list, although nobody can say how.
-            known.lapses_at = None;
+            // The target is listed, although its entry is unreadable.
+            known.removal_due_at = None;
         }
 
         let before = self.unreadable.insert(id.clone(), (version, reason.clone()));
@@ -498,31 +509,31 @@
         before.is_none().then_some(ListEvent::Unreadable { id, reason })
     }
 
-    /// Gets the store's version of the newest entry for an id.
-    fn newest_of(&self, id: &str) -> Option<StoreVersion> {
+    /// Version in the store of the newest entry of an id.
+    fn newest_version(&self, id: &str) -> Option<StoreVersion> {
         let readable = self.known.get(id).map(|k| k.version);
 
         readable.max(self.unreadable.get(id).map(|(version, _)| *version))
     }
 
-    fn lose(&mut self, id: &str, version: StoreVersion, now: Moment) -> Option<ListEvent> {
-        if self.newest_of(id).is_some_and(|newest| newest > version) {
+    fn remove_listed(&mut self, id: &str, version: StoreVersion, now: Moment) -> Option<ListEvent> {
+        if self.newest_version(id).is_some_and(|newest| newest > version) {
             return None;
         }
 
         let was_unreadable = self.unreadable.remove(id).is_some();
         let known = self.known.get_mut(id)?;
 
-        if known.lapses_at.is_some() {
+        if known.removal_due_at.is_some() {
             return None;
         }
 
-        let relisted_by = self.returned_at.map(|at| at + RELIST_LIMIT);
+        let relist_deadline = self.store_recovered_at.map(|at| at + RELIST_LIMIT);
         let is_serving = known.entry.state == TargetState::Serving && !was_unreadable;
 
-        match relisted_by {
+        match relist_deadline {
             Some(at) if at > now && is_serving => {
-                known.lapses_at = Some(at);
+                known.removal_due_at = Some(at);
                 Some(ListEvent::Lapsed(id.to_string()))
             }
             _ => {
@@ -532,32 +543,32 @@
         }
     }
 
-    fn finish(&mut self, version: StoreVersion) {
+    fn finish_update(&mut self, version: StoreVersion) {
         self.version = self.version.max(version);
-        self.index();
+        self.rebuild_index();
     }
 
-    /// Tells whether an entry names a target that may be used, but for its state.
-    fn names_target(&self, entry: &TargetEntry) -> bool {
+    /// Whether an entry names a usable target, apart from its state.
+    fn is_usable(&self, entry: &TargetEntry) -> bool {
         let is_named = |services: &BTreeSet<ServiceName>| services.contains(&entry.service);
 
         self.is_readable(&entry.id) && self.services.as_ref().is_none_or(is_named)
     }
 
-    fn index(&mut self) {
-        self.index_addresses();
+    fn rebuild_index(&mut self) {
+        self.rebuild_addresses();
         let mut by_service: HashMap<ServiceName, Vec<Arc<TargetEntry>>> = HashMap::new();
         let mut newest: HashMap<SocketAddr, StoreVersion> = HashMap::new();
 
-        for known in self.known.values().filter(|k| self.names_target(&k.entry)) {
+        for known in self.known.values().filter(|k| self.is_usable(&k.entry)) {
             let version = newest.entry(known.entry.address).or_default();
             *version = known.version.max(*version);
         }
 
-        let mut stopped: HashSet<&ServiceName> = HashSet::new();
+        let mut evacuated: HashSet<&ServiceName> = HashSet::new();
 
-        for known in self.known.values().filter(|k| self.names_target(&k.entry)) {
-            // Of two targets at one address, the one that was heard of last has replaced the other.
+        for known in self.known.values().filter(|k| self.is_usable(&k.entry)) {
+            // Of two targets at one address, the one with the newer entry has replaced the other.
             let is_newest = newest.get(&known.entry.address) == Some(&known.version);
 
             let is_leaving = known.entry.state != TargetState::Serving
@@ -567,9 +578,10 @@
                 continue;
             }
 
-            // Every way to a target passes this list, so that none can be forgotten.
+            // Every request's target comes from this index, so the check for evacuation cannot be
+            // bypassed.
             if self.evacuations.stops(&known.entry, self.indexed_at) {
-                stopped.insert(&known.entry.service);
+                evacuated.insert(&known.entry.service);
             } else {
                 by_service
                     .entry(known.entry.service.clone())
@@ -578,25 +590,26 @@
             }
         }
 
-        let is_left = |service: &&&ServiceName| !by_service.contains_key(**service);
-        self.evacuated = stopped.iter().filter(is_left).map(|s| (*s).clone()).collect();
+        let is_unserved = |service: &&&ServiceName| !by_service.contains_key(**service);
+        self.evacuated_services =
+            evacuated.iter().filter(is_unserved).map(|s| (*s).clone()).collect();
         self.serving = by_service.into_iter().map(|(name, list)| (name, list.into())).collect();
-        self.index_candidates();
+        self.rebuild_candidates();
     }
 
-    fn index_candidates(&mut self) {
-        let of_service = |serving: &Arc<[Arc<TargetEntry>]>| match &self.view {
-            Some(view) if serving.len() > view.options.size => {
-                subset(serving, &view.process, &view.hall, view.options).into()
+    fn rebuild_candidates(&mut self) {
+        let select = |serving: &Arc<[Arc<TargetEntry>]>| match &self.subset_view {
+            Some(subset_view) if serving.len() > subset_view.options.size => {
+                subset(serving, &subset_view.process, &subset_view.hall, subset_view.options).into()
             }
             _ => serving.clone(),
         };
 
         self.candidates =
-            self.serving.iter().map(|(name, list)| (name.clone(), of_service(list))).collect();
+            self.serving.iter().map(|(name, list)| (name.clone(), select(list))).collect();
     }
 
-    fn index_addresses(&mut self) {
+    fn rebuild_addresses(&mut self) {
         self.by_address.clear();
 
         for known in self.known.values() {
