--- a/grebedeck-gateway/src/cold.rs
+++ b/grebedeck-gateway/src/cold.rs
@@ -1,10 +1,10 @@
 //! Limits what a gateway sends to cold targets.
 //!
-//! A cold target can serve a certain number of requests per second from all gateways together, and
-//! fails well above that. No gateway knows what the others are sending, nor how many there are. So
-//! only the owners of a cold target send to it: the few gateways whose addresses rank highest with
-//! its id by rendezvous hashing. Each owner stays within a fixed share that does not depend on the
-//! number of gateways.
+//! A target is cold for some time after its start. It can then serve a certain number of requests
+//! per second from all gateways together, and fails well above that. No gateway knows what the
+//! others are sending, nor how many there are. So only the owners of a cold target send to it: the
+//! few gateways whose addresses rank highest with its id by rendezvous hashing. Each owner stays
+//! within a fixed share that does not depend on the number of gateways.
 //!
 //! Where all gateways read the same list, the owners' shares add up to half of the most that a
 //! target may get. The other half is for gateways that are partitioned from each other and pick
--- a/grebedeck-gateway/src/outage.rs
+++ b/grebedeck-gateway/src/outage.rs
@@ -47,7 +47,7 @@
     groups: BTreeMap<GroupId, GroupReport>,
 }
 
-/// A group's own report on whether it makes passes.
+/// A group's own report on whether it is open, that is, runs forward passes.
 #[derive(Clone, Copy, Debug)]
 struct GroupReport {
     /// Number of the newest formation that was reported.
@@ -74,8 +74,8 @@
         was_out
     }
 
-    /// Records a group's report that it makes passes; returns whether that ended an outage.
-    /// `formation` counts how often the group has formed.
+    /// Records a group's report that it is open; returns whether that ended an outage. `formation`
+    /// counts how often the group has formed.
     pub fn record_open(&mut self, group: GroupId, formation: u64, now: Moment) -> bool {
         self.store_report(group, formation, true, now) && self.is_out() && self.record_success(now)
     }
@@ -100,8 +100,8 @@
         self.failures == self.options.failure_threshold
     }
 
-    /// Records a group's report that it makes no passes; returns whether that started an outage, as
-    /// no other group is open. A report of an older formation comes from a rank that has not yet
+    /// Records a group's report that it is closed; returns whether that started an outage, as no
+    /// other group is open. A report of an older formation comes from a rank that has not yet
     /// noticed the newest one, and does not count.
     pub fn record_closed(&mut self, group: GroupId, formation: u64, now: Moment) -> bool {
         if !self.store_report(group, formation, false, now) || self.has_reporting_group(true, now) {
@@ -114,7 +114,7 @@
         !was_out
     }
 
-    /// Whether a group's current report is that it makes no passes.
+    /// Whether a group's current report is that it is closed.
     pub fn is_closed(&self, group: GroupId, now: Moment) -> bool {
         self.groups.get(&group).is_some_and(|report| !report.is_open && now < report.expires_at)
     }
--- a/grebedeck-gateway/src/pacing.rs
+++ b/grebedeck-gateway/src/pacing.rs
@@ -1,11 +1,11 @@
 //! Limits the load of a model's group so that the pauses between the events of its streams stay
 //! short.
 //!
-//! All ranks make each pass together, so its duration depends on the requests of the whole group,
-//! and on how well experts are placed at the moment. A gateway observes it as the pause between the
-//! events of its own streams. A pass takes a base time without any requests, plus about the same
-//! time for each request. The pauses and the load at which they were observed therefore give the
-//! load at which pauses would be as desired.
+//! All ranks run each forward pass together, so its duration depends on the requests of the whole
+//! group, and on how well experts are placed at the moment. A gateway observes it as the pause
+//! between the events of its own streams. A pass takes a base time without any requests, plus about
+//! the same time for each request. The pauses and the load at which they were observed therefore
+//! give the load at which pauses would be as desired.
 //!
 //! A slow rank makes each pass longer whatever the load is. The load that would meet the limit may
 //! then be so small that a higher load is worth more, although all its responses are late. In that
