--- a/grebedeck-gateway/tests/choice.rs
+++ b/grebedeck-gateway/tests/choice.rs
@@ -1,4 +1,4 @@
-//! Choosing among a service's targets.
+//! Choice among the targets of a service.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn gateways_that_hear_the_same_loads_do_not_run_to_the_same_target() {
+fn gateways_with_the_same_load_reports_do_not_all_choose_the_same_target() {
     let all = targets(72);
     let mut chosen: HashMap<String, u32> = HashMap::new();
 
@@ -40,11 +40,11 @@
         let mut random = SeededSource::new(seed as u64);
 
         for (number, target) in all.iter().enumerate() {
-            // One of them has nothing to do.
+            // One of them is idle.
             chooser.reported(&target.id, report(u32::from(number > 0), 0), NOW);
         }
 
-        // What one gateway sends until the loads are told anew.
+        // Requests of one gateway until the next load reports.
         for _ in 0..3 {
             let target = chooser.choose(&all, &[], NOW, &mut random).unwrap();
             chooser.sent(&target.id);
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn a_target_that_reads_prompts_is_left_for_one_that_runs_more() {
+fn a_target_with_waiting_requests_is_passed_over_for_one_with_more_running() {
     let all = targets(2);
     let mut random = SeededSource::new(1);
     let mut chooser = Chooser::new("hall", chooser_options());
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn what_was_sent_since_the_report_counts_as_waiting() {
+fn requests_sent_since_the_report_count_as_waiting() {
     let all = targets(2);
     let mut random = SeededSource::new(1);
     let mut chooser = Chooser::new("hall", chooser_options());
@@ -86,33 +86,33 @@
 }
 
 #[test]
-fn slow_targets_get_nothing_while_enough_others_are_well() {
+fn slow_targets_get_nothing_while_enough_others_are_healthy() {
     let all = targets(4);
     let mut chooser = Chooser::new("hall", chooser_options());
     let later = NOW + Duration::from_secs(3);
     let steady = |chooser: &Chooser, now| chooser.without_slow(&all, now).len();
 
     assert!(chooser.set_slowdown("target-001", 4.0, NOW));
-    assert!(!chooser.set_slowdown("target-001", 4.0, NOW), "it was slow before");
+    assert!(!chooser.set_slowdown("target-001", 4.0, NOW), "it was already slow");
     assert_eq!(steady(&chooser, NOW), 3);
     assert_eq!(chooser.worst_slowdown(&all, NOW), 4.0);
-    assert_eq!(steady(&chooser, later), 4, "its word is old");
+    assert_eq!(steady(&chooser, later), 4, "its report has expired");
     assert_eq!(chooser.worst_slowdown(&all, later), 1.0);
 
     for target in &all {
         chooser.set_slowdown(&target.id, 4.0, NOW);
     }
 
-    assert_eq!(steady(&chooser, NOW), 4, "where all are slow, all are used");
+    assert_eq!(steady(&chooser, NOW), 4, "if all are slow, all are used");
     assert!(chooser.set_slowdown("target-001", 1.0, NOW));
     assert_eq!(steady(&chooser, NOW), 4, "one of four is not enough");
     chooser.set_slowdown("target-002", 1.1, NOW);
     assert_eq!(steady(&chooser, NOW), 2);
 }
 
-/// A target that started again under its id was left out for as long as what was known of its earlier start held.
+/// A restarted target used to be excluded for as long as the state of its earlier start was valid.
 #[test]
-fn what_was_known_of_an_earlier_start_does_not_stand_for_the_next() {
+fn the_state_of_an_earlier_start_does_not_apply_to_the_next() {
     let mut chooser = Chooser::new("hall", chooser_options());
     chooser.listed("a", Some(1), 10);
     chooser.reported("a", report(10, 30), NOW);
@@ -130,7 +130,7 @@
     let all = targets(1);
     assert_eq!(chooser.worst_slowdown(&all, NOW), 1.0);
 
-    // How the earlier start's request ends is nothing to the next one.
+    // The end of a request to the earlier start does not affect the next one.
     chooser.sent_at("a", Some(2));
     chooser.ended_at("a", Some(1), Some(false), NOW);
     chooser.sent_at("a", Some(1));
--- a/grebedeck-gateway/tests/decisions.rs
+++ b/grebedeck-gateway/tests/decisions.rs
@@ -1,4 +1,4 @@
-//! Events, budgets, outages, pace and verdicts.
+//! Event splitting, retry budgets, outages, pacing, wait limits and classification of responses.
 
 use std::time::Duration;
 
@@ -13,12 +13,15 @@
 const MS: fn(u64) -> Duration = Duration::from_millis;
 
 proptest! {
-    #![proptest_config(ProptestConfig { rng_seed: proptest::test_runner::RngSeed::Fixed(7), ..ProptestConfig::default() })]
+    #![proptest_config(ProptestConfig {
+        rng_seed: proptest::test_runner::RngSeed::Fixed(7),
+        ..ProptestConfig::default()
+    })]
 
     #[test]
-    fn events_are_the_same_however_their_bytes_are_cut(
+    fn events_do_not_depend_on_how_the_body_is_chunked(
         texts in proptest::collection::vec("[a-z]{0,12}", 1..12),
-        cuts in proptest::collection::vec(1usize..9, 1..60),
+        chunk_lengths in proptest::collection::vec(1usize..9, 1..60),
         crlf in any::<bool>(),
     ) {
         let end = if crlf { "\r\n" } else { "\n" };
@@ -29,9 +32,9 @@
         let mut ids = Vec::new();
         let mut bytes = Vec::new();
 
-        for cut in cuts.iter().cycle() {
-            let (part, left) = rest.split_at((*cut).min(rest.len()));
-            buffer.push(part);
+        for chunk_length in chunk_lengths.iter().cycle() {
+            let (chunk, left) = rest.split_at((*chunk_length).min(rest.len()));
+            buffer.push(chunk);
             rest = left;
 
             while let Some(event) = buffer.next_event() {
@@ -51,7 +54,7 @@
 }
 
 #[test]
-fn a_part_of_an_event_is_not_passed_on() {
+fn an_incomplete_event_is_not_returned() {
     let mut buffer = EventBuffer::default();
     buffer.push(b"id: 4\ndata: x\n");
 
@@ -67,7 +70,7 @@
 }
 
 #[test]
-fn repeats_follow_the_requests_of_the_window() {
+fn retries_are_a_ratio_of_the_requests_in_the_window() {
     let mut budget = budget();
     (0..100).for_each(|_| budget.record_request(MS(1000)));
     let taken = (0..100).filter(|_| budget.try_acquire(MS(2000))).count();
@@ -75,34 +78,34 @@
     assert_eq!(taken, 23);
 }
 
-/// The allowance was divided by a fixed number, so that 40 gateways would have repeated three times as much
-/// as they may together.
+/// The allowance used to be divided by a fixed number, so that 40 gateways could retry three times
+/// as much as they may together.
 #[test]
-fn however_many_gateways_there_are_they_share_one_allowance() {
+fn any_number_of_gateways_shares_one_allowance() {
     for gateways in [1, 4, 12, 40, 100] {
         let all =
             WindowedRetryOptions { window: Duration::from_secs(10), ratio: 0.2, allowance: 200.0 };
         let take = |_| {
             let mut budget = WindowedRetryBudget::new(all);
-            // Few gateways are known at first.
+            // At first, few gateways are known.
             budget.set_options(all.share_of(gateways, 12.0));
             (0..1000).filter(|_| budget.try_acquire(MS(1000))).count()
         };
         let taken: usize = (0..gateways).map(take).sum();
 
-        assert!(taken <= 200, "{taken} repeats of {gateways} gateways");
+        assert!(taken <= 200, "{taken} retries by {gateways} gateways");
     }
 }
 
 #[test]
-fn a_window_wherever_it_lies_holds_no_more_than_its_part() {
+fn no_window_exceeds_its_budget() {
     let mut budget = budget();
     let mut taken: Vec<Duration> = Vec::new();
 
     for tick in 0..6000u64 {
         let now = MS(tick * 10);
 
-        // Requests come in bursts, and repeats are wanted all the time.
+        // Requests arrive in bursts, and retries are attempted all the time.
         if tick % 400 < 40 {
             budget.record_request(now);
         }
@@ -115,16 +118,18 @@
     for from in (0..60_000).step_by(50).map(MS) {
         let to = from + Duration::from_secs(10);
         let in_window = taken.iter().filter(|at| **at >= from && **at < to).count();
-        // At most three bursts of 40 requests lie in a window, or half a slot beside it.
+        // A window contains at most three bursts of 40 requests, plus half a bucket at its edge.
         assert!(in_window <= (3.5 * 40.0 * 0.2) as usize + 3, "{in_window} from {from:?}");
     }
 }
 
-/// Operators saw 708 repeats within ten seconds for 2,871 requests, where 702 were allowed: targets had begun to turn requests
-/// away after a time without repeats. A slot that lay in the window by a part was counted whole for requests too, so the
-/// window of requests was up to a slot longer than that of the repeats. This play took 204 for 1,000, where 203 are allowed.
+/// Operators saw 708 retries within ten seconds for 2,871 requests, where 702 were allowed, after
+/// targets had begun to turn requests away following a time without retries. A bucket partly inside
+/// the window counted in full for requests too, so requests were counted over up to one bucket more
+/// than retries. This simulation then allowed 204 retries for 1,000 requests, where 203 are
+/// allowed.
 #[test]
-fn repeats_after_a_quiet_time_are_a_part_of_the_same_seconds_requests() {
+fn retries_after_a_time_without_any_are_limited_by_the_requests_of_the_same_window() {
     let mut budget = budget();
     let mut taken: Vec<Duration> = Vec::new();
 
@@ -132,7 +137,7 @@
         let now = MS(tick * 10);
         budget.record_request(now);
 
-        // For a second in each fifteen all requests want repeats.
+        // For one second in every fifteen, all requests ask for retries.
         while tick % 1500 > 1400 && budget.try_acquire(now) {
             taken.push(now);
         }
@@ -184,41 +189,44 @@
     assert_eq!(outage.availability(MS(200)), Availability::Up);
 }
 
-/// In an incident, some ranks lost answers one after another; gateways took the whole service for out
-/// although its ranks said that their group was open, and refused callers.
+/// In an incident, some ranks lost responses one after another. Gateways took the whole service for
+/// out although its ranks reported that their group was open, and refused callers.
 #[test]
-fn failures_of_single_targets_are_no_outage_of_an_open_group() {
+fn failures_of_single_targets_are_no_outage_while_the_group_is_open() {
     let mut outage = outage();
     outage.record_open(7, 1, MS(1000));
     (1100..1200).for_each(|at| assert!(!outage.record_failure(MS(at))));
     assert_eq!(outage.availability(MS(1200)), Availability::Up);
 
-    // A group whose ranks lost power says that it is open for a while longer.
+    // A group whose ranks lost power still reports that it is open for a while.
     assert!(!outage.record_refusal());
     assert!(!outage.record_refusal());
     assert!(outage.record_refusal(), "the third refusal in a row");
     assert!(outage.record_open(7, 1, MS(1200)));
 
-    assert!(outage.record_closed(7, 1, MS(1250)), "its own word that it is closed counts at once");
+    assert!(
+        outage.record_closed(7, 1, MS(1250)),
+        "its own report that it is closed counts at once"
+    );
     assert!(matches!(outage.availability(MS(1200)), Availability::Out(_)));
     assert!(outage.record_open(7, 1, MS(1300)));
     assert_eq!(outage.availability(MS(1300)), Availability::Up);
 }
 
 #[test]
-fn trials_are_made_one_at_a_time() {
+fn probes_keep_their_interval() {
     let mut outage = outage();
-    let trials = (0..1000).filter(|at| outage.try_probe(MS(*at))).count();
+    let probes = (0..1000).filter(|at| outage.try_probe(MS(*at))).count();
 
-    assert_eq!(trials, 20);
+    assert_eq!(probes, 20);
 }
 
 #[test]
 fn allowed_load_follows_the_pauses() {
     let mut pacing = Pacing::new(PacingOptions::new(MS(30), MS(125)));
-    assert_eq!(pacing.allowed_load(1.0, 1.0, 2.0, MS(0)), 2.0, "nothing was seen");
+    assert_eq!(pacing.allowed_load(1.0, 1.0, 2.0, MS(0)), 2.0, "nothing was observed");
 
-    // A pass of 30 ms and 90 ms for the requests; what is aimed at leaves less for them.
+    // A pass takes 30 ms plus 90 ms for the requests; the desired pause leaves less for them.
     (0..500).for_each(|at| pacing.record_pause(MS(120), MS(at)));
     let allowed = pacing.allowed_load(0.9, 1.0, 1.0, MS(500));
     let aimed_at = 0.9 * (pacing.desired_pause() - MS(30)).as_secs_f64() / MS(90).as_secs_f64();
@@ -226,13 +234,13 @@
     assert!((0.5..0.9).contains(&allowed), "{allowed}");
 
     let old = pacing.allowed_load(0.9, 1.0, 2.0, MS(5000));
-    assert_eq!(old, 2.0, "what was seen is too old");
+    assert_eq!(old, 2.0, "the observations have expired");
 }
 
-/// A stream is late by its longest pause: with pauses that vary, a mean just below the limit leaves many
-/// above it.
+/// A stream is late if its longest pause is. With pauses that vary, a mean just below the limit
+/// leaves many above it.
 #[test]
-fn the_more_pauses_vary_the_shorter_a_mean_is_aimed_at() {
+fn the_desired_mean_pause_decreases_with_the_spread() {
     let aim = |off_ms: u64| {
         let mut pacing = Pacing::new(PacingOptions::new(MS(30), MS(120)));
         let pause = |at: u64| if at.is_multiple_of(2) { MS(70 - off_ms) } else { MS(70 + off_ms) };
@@ -241,57 +249,57 @@
     };
 
     assert!(aim(0) > MS(118), "{:?}", aim(0));
-    // A mean deviation of 2 in 7, and two of them below the limit.
+    // The mean deviation is 2/7 of the mean, and two deviations are kept below the limit.
     assert!(aim(20).abs_diff(MS(76)) < MS(2), "{:?}", aim(20));
-    assert!(aim(65) >= MS(60), "not less for an outage: {:?}", aim(65));
+    assert!(aim(65) >= MS(60), "the spread is bounded in an outage: {:?}", aim(65));
 }
 
 #[test]
-fn a_request_waits_no_longer_than_it_can_and_still_come_in_time() {
-    let mut patience = WaitLimit::new(WaitLimitOptions::default());
-    assert_eq!(patience.max_wait(MS(500)), MS(500), "nothing was seen");
+fn a_request_waits_only_as_long_as_it_can_still_be_in_time() {
+    let mut wait_limit = WaitLimit::new(WaitLimitOptions::default());
+    assert_eq!(wait_limit.max_wait(MS(500)), MS(500), "nothing was observed");
 
-    (0..1000).for_each(|_| patience.record_answer(MS(180)));
+    (0..1000).for_each(|_| wait_limit.record_answer(MS(180)));
     assert!(
-        patience.max_wait(MS(500)).abs_diff(MS(320)) < MS(2),
+        wait_limit.max_wait(MS(500)).abs_diff(MS(320)) < MS(2),
         "{:?}",
-        patience.max_wait(MS(500))
+        wait_limit.max_wait(MS(500))
     );
 
     let took = |at: u64| if at.is_multiple_of(2) { MS(130) } else { MS(230) };
-    (0..1000).for_each(|at| patience.record_answer(took(at)));
+    (0..1000).for_each(|at| wait_limit.record_answer(took(at)));
     assert!(
-        patience.max_wait(MS(500)).abs_diff(MS(220)) < MS(5),
+        wait_limit.max_wait(MS(500)).abs_diff(MS(220)) < MS(5),
         "{:?}",
-        patience.max_wait(MS(500))
+        wait_limit.max_wait(MS(500))
     );
-    // Nothing comes in time; a place that is free the next moment is waited for all the same.
-    assert_eq!(patience.max_wait(MS(150)), WaitLimitOptions::default().min_wait);
+    // No request would be in time; a slot that becomes free at once is still worth the wait.
+    assert_eq!(wait_limit.max_wait(MS(150)), WaitLimitOptions::default().min_wait);
 }
 
 #[test]
-fn a_group_that_is_slow_takes_some_requests_all_the_same() {
+fn a_slow_group_still_gets_some_requests() {
     let mut pacing = Pacing::new(PacingOptions::new(MS(30), MS(125)));
     pacing.record_pause(MS(5000), MS(1));
 
     assert!(pacing.allowed_load(0.5, 1.0, 1.0, MS(2)) >= 0.3);
 }
 
-/// While a group formed, a request each 40 ms was sent to find out whether it was back, and refused.
+/// While a group formed, a probe was sent every 40 ms and refused.
 #[test]
-fn no_trials_are_made_while_the_group_says_that_it_is_closed() {
+fn no_probes_are_sent_while_the_group_reports_that_it_is_closed() {
     let mut outage = outage();
     assert!(outage.record_closed(7, 1, MS(1000)));
     assert!(!outage.try_probe(MS(1499)));
-    assert!(outage.try_probe(MS(1500)), "its word is old");
+    assert!(outage.try_probe(MS(1500)), "its report has expired");
 
-    assert!(!outage.record_closed(7, 1, MS(1600)), "it was out before");
+    assert!(!outage.record_closed(7, 1, MS(1600)), "it was already out");
     assert!(!outage.try_probe(MS(1700)));
     assert!(outage.record_open(7, 2, MS(1800)));
-    assert!(!outage.record_closed(7, 1, MS(1900)), "a rank that has not noticed the new formation");
+    assert!(!outage.record_closed(7, 1, MS(1900)), "a report of the previous formation");
     assert_eq!(outage.availability(MS(1900)), Availability::Up);
-    assert!(outage.record_closed(7, 2, MS(2000)), "the new formation broke");
-    assert!(outage.record_open(7, 1, MS(2600)), "a group that counts its formations anew");
+    assert!(outage.record_closed(7, 2, MS(2000)), "the new formation has failed");
+    assert!(outage.record_open(7, 1, MS(2600)), "a group whose count has restarted");
 }
 
 #[test]
@@ -305,45 +313,45 @@
     assert!(outage.is_overdue(left));
 }
 
-/// One group that forms took the others of its service out with it.
+/// One group that was forming used to mark the whole service as out, with its other groups.
 #[test]
 fn a_closed_group_is_no_outage_while_another_is_open() {
     let mut outage = outage();
     outage.record_open(7, 5, MS(1000));
-    assert!(!outage.record_closed(8, 1, MS(1010)), "the other one serves on");
+    assert!(!outage.record_closed(8, 1, MS(1010)), "the other group is still open");
     assert_eq!(outage.availability(MS(1010)), Availability::Up);
     assert!(outage.is_closed(8, MS(1010)) && !outage.is_closed(7, MS(1010)));
-    assert!(!outage.is_closed(8, MS(1600)), "its word is old");
+    assert!(!outage.is_closed(8, MS(1600)), "its report has expired");
 
-    assert!(outage.record_closed(7, 5, MS(1020)), "now none is open");
+    assert!(outage.record_closed(7, 5, MS(1020)), "no group is open now");
     assert!(!outage.try_probe(MS(1030)));
-    assert!(outage.record_open(8, 1, MS(1040)), "its formations are its own");
+    assert!(outage.record_open(8, 1, MS(1040)), "formations are counted per group");
 }
 
 #[test]
-fn where_nothing_can_come_in_time_as_many_as_fit_are_taken() {
+fn if_no_response_can_be_in_time_as_many_as_fit_are_admitted() {
     let mut pacing = Pacing::new(PacingOptions::new(MS(30), MS(125)));
     (0..500).for_each(|at| pacing.record_pause(MS(300), MS(at)));
 
     // A rank that is ten times slower makes passes of 300 ms whatever the load is.
     assert_eq!(pacing.allowed_load(0.5, 10.0, 1.0, MS(500)), 1.0);
 
-    // Operators may allow less than the least load that is otherwise taken.
+    // Operators may allow less than the usual minimum load.
     assert_eq!(pacing.allowed_load(0.1, 10.0, 0.2, MS(500)), 0.2);
 
-    // What does not end before its deadline has taken a place for nothing.
+    // A stream that does not end before its deadline has used a slot for nothing.
     let options = PacingOptions::new(MS(30), MS(125)).with_deadline(MS(8000), 12.0);
     let mut pacing = Pacing::new(options);
     (0..500).for_each(|at| pacing.record_pause(MS(600), MS(at)));
     let allowed = pacing.allowed_load(1.0, 8.0, 1.0, MS(500));
-    // Passes of 240 ms are empty, and as many requests as make 93 more for streams of 24 events.
+    // An empty pass takes 240 ms, and the requests may add 93 ms for streams of 24 events.
     assert!((allowed - 93.0 / 360.0).abs() < 0.05, "{allowed}");
-    // Without a slow rank the load itself is the reason, and less of it helps.
+    // Without a slow rank the load itself is the cause, and reducing it helps.
     assert!(pacing.allowed_load(0.5, 1.0, 1.0, MS(500)) < 0.5);
 }
 
 #[test]
-fn only_a_targets_own_word_says_that_a_request_has_not_run() {
+fn only_the_targets_own_statement_shows_that_a_request_has_not_run() {
     assert_eq!(judge(200, true, false), Verdict::Pass);
     assert_eq!(judge(200, false, false), Verdict::Unusable);
     assert_eq!(judge(503, false, true), Verdict::Refused);
@@ -355,7 +363,7 @@
 }
 
 #[test]
-fn a_request_that_may_have_run_is_never_told_not_to_have() {
+fn a_request_that_may_have_run_is_never_reported_as_not_run() {
     for is_late in [false, true] {
         assert_eq!(give_up_status(RunState::NotRun, is_late), 503);
         assert!(matches!(give_up_status(RunState::MayHaveRun, is_late), 502 | 504));
@@ -368,7 +376,7 @@
 }
 
 #[test]
-fn a_load_that_is_not_understood_is_none() {
+fn an_unreadable_load_is_none() {
     let load = TargetLoad { running: 3, waiting: 0, slots: 8 };
 
     assert_eq!(TargetLoad::parse("3, 0,8"), Some(load));
--- a/grebedeck-gateway/tests/memory.rs
+++ b/grebedeck-gateway/tests/memory.rs
@@ -1,4 +1,4 @@
-//! Memory for what nobody has read yet, and peers that take nothing.
+//! Memory budget for unread data, and peers that stop reading.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 const MAX_BYTES: usize = 1 << 20;
 
 #[test]
-fn large_holders_leave_room_for_small_ones() {
+fn large_holders_leave_memory_for_small_ones() {
     let mut memory = MemoryBudget::new(MAX_BYTES);
     let mut large = 0;
 
@@ -19,14 +19,14 @@
     }
 
     assert_eq!(large, MAX_BYTES / 4 * 3, "one holder alone");
-    assert!(!memory.try_reserve(0, SMALL_BYTES + 1), "another large one");
-    assert!(memory.try_reserve(0, SMALL_BYTES), "a small one");
+    assert!(!memory.try_reserve(0, SMALL_BYTES + 1), "another large holder");
+    assert!(memory.try_reserve(0, SMALL_BYTES), "a small holder");
     memory.release(large);
-    assert!(memory.try_reserve(0, SMALL_BYTES + 1), "once the first is gone");
+    assert!(memory.try_reserve(0, SMALL_BYTES + 1), "after the first has released its memory");
 }
 
 #[test]
-fn what_never_fits_is_known_beforehand() {
+fn a_holding_that_never_fits_is_detected_beforehand() {
     let memory = MemoryBudget::new(MAX_BYTES);
 
     assert!(memory.can_hold(MAX_BYTES / 2));
@@ -34,10 +34,13 @@
 }
 
 proptest! {
-    #![proptest_config(ProptestConfig { rng_seed: proptest::test_runner::RngSeed::Fixed(7), ..ProptestConfig::default() })]
+    #![proptest_config(ProptestConfig {
+        rng_seed: proptest::test_runner::RngSeed::Fixed(7),
+        ..ProptestConfig::default()
+    })]
 
     #[test]
-    fn the_limit_holds_and_all_is_given_back(
+    fn the_limit_applies_and_all_reservations_are_released(
         steps in proptest::collection::vec((0usize..40, 0usize..200_000), 1..300),
     ) {
         let mut memory = MemoryBudget::new(MAX_BYTES);
@@ -61,7 +64,7 @@
 }
 
 #[test]
-fn a_peer_that_takes_nothing_is_given_up() {
+fn a_peer_that_reads_nothing_counts_as_stalled() {
     let reader = Reader::new(MS(2000), MS(9000), MS(1000));
 
     assert_eq!(reader.waiting(MS(1500)), Waiting::For(MS(1500)));
@@ -69,7 +72,7 @@
 }
 
 #[test]
-fn a_peer_that_takes_a_little_each_time_is_waited_for_until_the_end() {
+fn a_peer_that_reads_slowly_has_until_the_deadline() {
     let mut reader = Reader::new(MS(2000), MS(9000), MS(1000));
 
     for at in (2..9).map(|s| MS(s * 1000)) {
