--- a/grebedeck-gateway/src/lib.rs
+++ b/grebedeck-gateway/src/lib.rs
@@ -24,8 +24,8 @@
 pub mod reader;
 pub mod refusals;
 pub mod relay;
-pub mod rest;
 pub mod retry;
+pub mod retry_after;
 pub mod routes;
 pub mod site;
 pub mod source;
@@ -46,8 +46,8 @@
 pub use quota::{QuotaLedger, QuotaMessage};
 pub use refusals::Refusals;
 pub use relay::{RelayOptions, Relays, Source};
-pub use rest::RetryAfter;
 pub use retry::{WindowedRetryBudget, WindowedRetryOptions};
+pub use retry_after::RetryAfter;
 pub use routes::{Admitted, Denied, RouteTable};
 pub use site::{
     CallerLimits, EngineSpec, Kind, Organisation, RouteRule, ServiceSpec, Site, Weighted,
--- a/grebedeck-gateway/tests/refusals.rs
+++ b/grebedeck-gateway/tests/refusals.rs
@@ -6,7 +6,7 @@
 use grebedeck_core::random::SeededSource;
 use grebedeck_core::{Moment, RandomSource};
 use grebedeck_gateway::refusals::{RefusalEffect, Refusals};
-use grebedeck_gateway::rest::{
+use grebedeck_gateway::retry_after::{
     MAX_RETRY_AFTER, UNREADABLE_RETRY_AFTER, parse_retry_after, requested_retry_after,
 };
 use grebedeck_gateway::wire::{TargetLoad, says_leaving};
--- a/grebedeck/src/gateway/attempt.rs
+++ b/grebedeck/src/gateway/attempt.rs
@@ -6,7 +6,7 @@
 
 use async_std::future::timeout;
 use grebedeck_gateway::answer::MISDIRECTED;
-use grebedeck_gateway::rest::requested_retry_after;
+use grebedeck_gateway::retry_after::requested_retry_after;
 use grebedeck_gateway::wire::TargetLoad;
 use grebedeck_gateway::{TargetEntry, Verdict, judge};
 use grebedeck_http::{BodyDecoder, Connection, Decoded, HttpError, ResponseHead, response_framing};
