--- a/grebedeck-gateway/src/lib.rs
+++ b/grebedeck-gateway/src/lib.rs
@@ -19,7 +19,6 @@
 pub mod memory;
 pub mod outage;
 pub mod pacing;
-pub mod patience;
 pub mod quota;
 pub mod reader;
 pub mod refusals;
@@ -30,6 +29,7 @@
 pub mod site;
 pub mod source;
 pub mod targets;
+pub mod wait_limit;
 pub mod wire;
 
 pub use answer::{RunState, Verdict, judge};
@@ -42,7 +42,6 @@
 pub use limit::{Limits, Permit};
 pub use outage::{Availability, Outage, OutageOptions};
 pub use pacing::{Pacing, PacingOptions, PromptLimiter};
-pub use patience::{WaitLimit, WaitLimitOptions};
 pub use quota::{QuotaLedger, QuotaMessage};
 pub use refusals::Refusals;
 pub use relay::{RelayOptions, Relays, Source};
@@ -57,4 +56,5 @@
     StoreVersion, TargetChange, Unreadable, Watched,
 };
 pub use targets::{ListedTarget, TargetEntry, TargetId, TargetList, TargetListing, TargetState};
+pub use wait_limit::{WaitLimit, WaitLimitOptions};
 pub use wire::HeaderNames;
