--- a/grebedeck-gateway/src/choice.rs
+++ b/grebedeck-gateway/src/choice.rs
@@ -10,7 +10,7 @@
 /// their objective; with three draws, 1 in 1,000.
 const DRAWS_PER_REQUEST: usize = 3;
 /// Weight of a waiting request, in running requests on top of itself. A waiting request delays a
-/// new one by two passes, a running one by a hundredth of a pass; but slots must not run out
+/// new one by two forward passes, a running one by a hundredth of one; but slots must not run out
 /// either.
 const WAITING_WEIGHT: f64 = 4.0;
 /// Age at which a load report expires. If it were much longer, a target that others have filled
--- a/grebedeck-gateway/src/targets.rs
+++ b/grebedeck-gateway/src/targets.rs
@@ -174,7 +174,7 @@
     services: Option<BTreeSet<ServiceName>>,
     /// Whether the last call to the store failed.
     is_store_failing: bool,
-    /// When the store first answered after its last failure.
+    /// When the list was first updated after the last failed call to the store.
     store_recovered_at: Option<Moment>,
     evacuations: Evacuations,
     /// Targets that announced in a response that they are shutting down, whatever the list says.
