--- a/grebedeck-gateway/src/lib.rs
+++ b/grebedeck-gateway/src/lib.rs
@@ -19,35 +19,34 @@
 pub mod memory;
 pub mod outage;
 pub mod pacing;
-pub mod patience;
 pub mod quota;
 pub mod refusals;
 pub mod relay;
-pub mod rest;
 pub mod retry;
+pub mod retry_after;
 pub mod routes;
 pub mod site;
 pub mod source;
 pub mod targets;
+pub mod wait_limit;
 pub mod wire;
 pub mod write_timeout;
 
 pub use answer::{RunState, Verdict, judge};
 pub use choice::chooser_options;
-pub use cold::{ColdGate, ColdPart};
+pub use cold::{ColdLimiter, ColdShare};
 pub use coordinator::Coordinators;
 pub use evacuation::{Evacuations, HallEvent, HallStatus, HallStatuses};
 pub use events::{Event, EventBuffer};
 pub use feed::{ApplyChange, Feed, FeedState};
 pub use limit::{Limits, Permit};
 pub use outage::{Availability, Outage, OutageOptions};
-pub use pacing::{Pacing, PacingOptions, PromptRate};
-pub use patience::{Patience, PatienceOptions};
+pub use pacing::{Pacing, PacingOptions, PromptLimiter};
 pub use quota::{QuotaLedger, QuotaMessage};
 pub use refusals::Refusals;
 pub use relay::{RelayOptions, RelaySelector, Source};
-pub use rest::Rest;
-pub use retry::{WindowBudget, WindowOptions};
+pub use retry::{WindowedRetryBudget, WindowedRetryOptions};
+pub use retry_after::RetryAfter;
 pub use routes::{Admitted, Denied, RouteTable};
 pub use site::{
     CallerLimits, EngineSpec, Organisation, RequestKind, RouteRule, ServiceSpec, Site,
@@ -58,4 +57,5 @@
     StoreVersion, TargetChange, Unreadable, Watched,
 };
 pub use targets::{ListedTarget, TargetEntry, TargetId, TargetList, TargetListing, TargetState};
+pub use wait_limit::{WaitLimit, WaitLimitOptions};
 pub use wire::HeaderNames;
--- a/grebedeck-gateway/tests/evacuation.rs
+++ b/grebedeck-gateway/tests/evacuation.rs
@@ -230,7 +230,7 @@
         entry.address.set_port(100 + at as u16);
         ListedTarget { version: 1 + at as u64, entry }
     });
-    list.take_snapshot(50, listed.collect::<Vec<_>>(), MS(0));
+    list.apply_snapshot(50, listed.collect::<Vec<_>>(), MS(0));
     list
 }
 
@@ -243,7 +243,7 @@
     let mut list = list_of(&[("a", "north"), ("b", "south"), ("c", "north")]);
     let evacuate =
         |halls: &mut Evacuations| halls.apply_snapshot(60, &names(&["north"]), None, MS(9));
-    list.change_evacuations(evacuate, MS(9));
+    list.update_evacuations(evacuate, MS(9));
 
     assert_eq!(serving(&list), ["b"]);
     assert!(!list.is_evacuated("plain"));
@@ -251,14 +251,14 @@
     assert!(list.get("a").is_some());
 
     let both = |halls: &mut Evacuations| halls.apply_change(61, &"south".into(), true, MS(10));
-    list.change_evacuations(both, MS(10));
+    list.update_evacuations(both, MS(10));
     list.tick(MS(10) + DEFAULT_EVACUATION_BOUND / 2);
     assert!(serving(&list).is_empty());
     assert!(list.is_evacuated("plain"));
     assert!(!list.is_evacuated("other"), "a service without targets");
 
     let reopen = |halls: &mut Evacuations| halls.apply_change(62, &"south".into(), false, MS(9000));
-    list.change_evacuations(reopen, MS(9000));
+    list.update_evacuations(reopen, MS(9000));
     list.tick(MS(9000) + DEFAULT_EVACUATION_BOUND / 2);
     assert_eq!(serving(&list), ["b"]);
     assert!(!list.is_evacuated("plain"));
@@ -269,10 +269,10 @@
     let mut list = list_of(&[("a", "south")]);
     let evacuate =
         |halls: &mut Evacuations| halls.apply_snapshot(60, &names(&["north"]), None, MS(9));
-    list.change_evacuations(evacuate, MS(9));
+    list.update_evacuations(evacuate, MS(9));
     let entry = target("new-one", "north");
     let new = grebedeck_gateway::TargetChange::Set(ListedTarget { version: 70, entry });
-    list.take_changes(70, vec![new], MS(20));
+    list.apply_changes(70, vec![new], MS(20));
 
     assert_eq!(serving(&list), ["a"]);
 }
@@ -282,13 +282,13 @@
     let mut list = list_of(&[("a", "north")]);
     let evacuate =
         |halls: &mut Evacuations| halls.apply_change(60, &"north".into(), true, MS(1000));
-    list.change_evacuations(evacuate, MS(1000));
+    list.update_evacuations(evacuate, MS(1000));
 
-    assert!(!list.is_index_older(MS(250), MS(1200)));
-    assert!(list.is_index_older(MS(250), MS(9000)), "the process was frozen during the ramp");
+    assert!(!list.is_index_stale(MS(250), MS(1200)));
+    assert!(list.is_index_stale(MS(250), MS(9000)), "the process was frozen during the ramp");
     list.tick(MS(9000));
     assert!(serving(&list).is_empty());
-    assert!(!list.is_index_older(MS(250), MS(99_000)));
+    assert!(!list.is_index_stale(MS(250), MS(99_000)));
 }
 
 /// Event in a run with several gateways.
