--- a/grebedeck-routing/src/choice.rs
+++ b/grebedeck-routing/src/choice.rs
@@ -87,8 +87,7 @@
     pub slots: u32,
 }
 
-/// Identifies one start of a target, as reported by the target; `None` if unknown. Only equality of
-/// two values has a meaning.
+/// Identifies one start of a target; `None` if unknown. Only equality of two values has a meaning.
 pub type StartId = Option<u64>;
 
 /// Estimated load of a target.
