--- a/grebedeck-routing/src/attempt.rs
+++ b/grebedeck-routing/src/attempt.rs
@@ -145,7 +145,7 @@
 
 /// Returns the exponential backoff before a retry; `jitter` is a random number in `0.0..1.0`.
 ///
-/// `number` counts the earlier retries.
+/// `number` is the number of the attempt that follows the wait; the first retry is number 1.
 pub fn retry_backoff(number: u32, jitter: f64) -> Duration {
     let base_ms = 5.0 * f64::from(1u32 << number.min(6));
 
