--- a/grebedeck-experts/src/assign.rs
+++ b/grebedeck-experts/src/assign.rs
@@ -151,7 +151,7 @@
         }
     }
 
-    /// Returns the time of the busiest rank relative to the mean.
+    /// Returns the time of the busiest rank relative to the mean at normal cost.
     fn skew(&self) -> f32 {
         self.times[usize::from(self.busiest())] / self.mean
     }
