--- a/grebedeck-admission/src/fair.rs
+++ b/grebedeck-admission/src/fair.rs
@@ -17,7 +17,7 @@
 /// Turns' worth of tokens that one request counts as at the most. Requests of the users' sheets take up to five times
 /// the usual tokens; a request that names absurdly many does not keep its organisation out for minutes, nor the
 /// choice busy for long.
-pub const MAX_TURNS: u64 = 16;
+pub const MAX_TURNS_PER_REQUEST: u64 = 16;
 
 /// A request's place in the order within its organisation.
 type Position = (Moment, Ticket);
@@ -39,7 +39,7 @@
 
 /// Requests that wait with one urgency, by organisation.
 #[derive(Clone, Debug, Default)]
-pub struct Fair {
+pub struct FairQueue {
     lines: HashMap<OrganisationName, Line>,
     turns: BTreeMap<Turn, OrganisationName>,
     /// All tickets, by age.
@@ -56,7 +56,7 @@
     }
 }
 
-impl Fair {
+impl FairQueue {
     /// Gets the number of requests.
     pub fn len(&self) -> usize {
         self.tickets.len()
@@ -137,7 +137,7 @@
             let organisation = self.turns.first_key_value()?.1.clone();
             let line = self.lines.get_mut(&organisation)?;
             let (ticket, tokens) = line.first(now)?;
-            let counted = tokens.clamp(1, turn_tokens * MAX_TURNS);
+            let counted = tokens.clamp(1, turn_tokens * MAX_TURNS_PER_REQUEST);
 
             if !std::mem::replace(&mut line.has_begun, true) {
                 line.deficit_tokens += turn_tokens * line.weight;
--- a/grebedeck-admission/src/flow.rs
+++ b/grebedeck-admission/src/flow.rs
@@ -21,15 +21,15 @@
 
 /// Places given, by urgency, and the time in which somebody waited for them.
 #[derive(Clone, Debug, Default)]
-pub struct Flow {
+pub struct GrantRate {
     given: BTreeMap<Urgency, f64>,
     waited_s: f64,
     at: Moment,
 }
 
-impl Flow {
+impl GrantRate {
     /// Notes the time that has passed; `is_waited_for` tells whether somebody has waited since the last call.
-    pub fn pass(&mut self, is_waited_for: bool, now: Moment) {
+    pub fn advance(&mut self, is_waited_for: bool, now: Moment) {
         let passed_s = now.saturating_sub(self.at).as_secs_f64();
         self.at = self.at.max(now);
         let factor = (-passed_s / MEMORY.as_secs_f64()).exp();
@@ -47,22 +47,22 @@
     }
 
     /// Notes that a place was given to a request that had waited.
-    pub fn note_given(&mut self, urgency: Urgency) {
+    pub fn record_grant(&mut self, urgency: Urgency) {
         *self.given.entry(urgency).or_default() += 1.0;
     }
 
     /// Gets the places that are given in a second, where that was seen lately.
-    pub fn rate(&self) -> Option<f64> {
+    pub fn grants_per_s(&self) -> Option<f64> {
         self.per_second(self.all())
     }
 
     /// Gets the places that are given to an urgency in a second, where that was seen lately.
-    pub fn rate_of(&self, urgency: Urgency) -> Option<f64> {
+    pub fn grants_per_s_of(&self, urgency: Urgency) -> Option<f64> {
         self.per_second(self.given.get(&urgency).copied().unwrap_or_default())
     }
 
     /// Gets the part of the places that lately went to those less urgent than `urgency`.
-    pub fn part_behind(&self, urgency: Urgency) -> f64 {
+    pub fn fraction_behind(&self, urgency: Urgency) -> f64 {
         let behind = (Bound::Excluded(urgency), Bound::Unbounded);
         let given: f64 = self.given.range(behind).map(|(_, given)| given).sum();
 
--- a/grebedeck-admission/src/lib.rs
+++ b/grebedeck-admission/src/lib.rs
@@ -15,4 +15,4 @@
 pub mod share;
 
 pub use queue::{Order, Queue, QueueOptions, Ticket, Urgency, Waiter};
-pub use returns::{Returns, Schedule};
+pub use returns::{ExpectedCapacity, RetrySlots};
--- a/grebedeck-admission/src/queue.rs
+++ b/grebedeck-admission/src/queue.rs
@@ -15,9 +15,9 @@
 
 use grebedeck_core::{Moment, OrganisationName};
 
-use crate::fair::Fair;
-use crate::flow::Flow;
-use crate::share::{LEAST_SHARE, Shares};
+use crate::fair::FairQueue;
+use crate::flow::GrantRate;
+use crate::share::{MIN_SHARE, Shares};
 
 /// Names one that waits.
 pub type Ticket = u64;
@@ -49,12 +49,12 @@
     /// Tokens that an organisation's turn is worth: those of a usual request, so that a turn serves one or some.
     pub turn_tokens: u64,
     /// Most that wait.
-    pub limit: usize,
+    pub max_waiting: usize,
 }
 
 impl Default for QueueOptions {
     fn default() -> Self {
-        QueueOptions { order: Order::Arrival, turn_tokens: 1, limit: MAX_WAITING }
+        QueueOptions { order: Order::Arrival, turn_tokens: 1, max_waiting: MAX_WAITING }
     }
 }
 
@@ -72,15 +72,15 @@
     /// Latest moment at which a start is still in time.
     pub start_by: Moment,
     /// When it is given up.
-    pub give_up: Moment,
+    pub expires_at: Moment,
     /// Whether it is a stream that has begun at another target.
-    pub goes_on: bool,
+    pub is_resumed: bool,
 }
 
 /// Those that go before all others of a later class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Class {
-    GoesOn,
+    Resumed,
     Asked(Urgency),
 }
 
@@ -95,10 +95,10 @@
 pub struct Queue<T> {
     options: QueueOptions,
     entries: HashMap<Ticket, Entry<T>>,
-    classes: BTreeMap<Class, Fair>,
-    by_give_up: BTreeSet<(Moment, Ticket)>,
+    classes: BTreeMap<Class, FairQueue>,
+    by_expiry: BTreeSet<(Moment, Ticket)>,
     shares: Shares,
-    flow: Flow,
+    flow: GrantRate,
     next_ticket: Ticket,
 }
 
@@ -109,9 +109,9 @@
             options,
             entries: HashMap::new(),
             classes: BTreeMap::new(),
-            by_give_up: BTreeSet::new(),
+            by_expiry: BTreeSet::new(),
             shares: Shares::default(),
-            flow: Flow::default(),
+            flow: GrantRate::default(),
             next_ticket: 0,
         }
     }
@@ -150,7 +150,7 @@
     }
 
     /// Gets the number of those who wait with each urgency; streams that go on are among theirs.
-    pub fn waiting(&self) -> BTreeMap<Urgency, usize> {
+    pub fn waiting_by_urgency(&self) -> BTreeMap<Urgency, usize> {
         let mut waiting = BTreeMap::new();
 
         for entry in self.entries.values() {
@@ -162,15 +162,15 @@
 
     /// Adds one that waits; where the queue is full, gives it back.
     pub fn push(&mut self, waiter: Waiter, item: T, now: Moment) -> Result<Ticket, T> {
-        if self.entries.len() >= self.options.limit {
+        if self.entries.len() >= self.options.max_waiting {
             return Err(item);
         }
 
-        self.pass(now);
-        self.shares.note_asked(waiter.urgency, now);
+        self.advance(now);
+        self.shares.record_arrival(waiter.urgency, now);
         let ticket = self.next_ticket;
         self.next_ticket += 1;
-        self.by_give_up.insert((waiter.give_up, ticket));
+        self.by_expiry.insert((waiter.expires_at, ticket));
         self.entries.insert(ticket, Entry { waiter, item });
         self.line_up(ticket);
 
@@ -178,14 +178,14 @@
     }
 
     /// Notes a request that got a place without waiting.
-    pub fn note_at_once(&mut self, urgency: Urgency, now: Moment) {
-        self.shares.note_asked(urgency, now);
-        self.shares.note_served(urgency, now);
+    pub fn record_immediate(&mut self, urgency: Urgency, now: Moment) {
+        self.shares.record_arrival(urgency, now);
+        self.shares.record_served(urgency, now);
     }
 
     /// Notes a request that was refused without waiting.
-    pub fn note_refused(&mut self, urgency: Urgency, now: Moment) {
-        self.shares.note_asked(urgency, now);
+    pub fn record_refused(&mut self, urgency: Urgency, now: Moment) {
+        self.shares.record_arrival(urgency, now);
     }
 
     /// Gets who goes next.
@@ -198,39 +198,39 @@
     /// Takes out who goes next, for a place.
     pub fn pop(&mut self, now: Moment) -> Option<(Waiter, T)> {
         let ticket = self.next(now)?;
-        self.pass(now);
+        self.advance(now);
         let entry = self.take(ticket, true)?;
-        self.shares.note_served(entry.waiter.urgency, now);
-        self.flow.note_given(entry.waiter.urgency);
+        self.shares.record_served(entry.waiter.urgency, now);
+        self.flow.record_grant(entry.waiter.urgency);
 
         Some((entry.waiter, entry.item))
     }
 
     /// Takes out one that leaves or is given up.
     pub fn remove(&mut self, ticket: Ticket, now: Moment) -> Option<(Waiter, T)> {
-        self.pass(now);
+        self.advance(now);
 
         self.take(ticket, false).map(|entry| (entry.waiter, entry.item))
     }
 
     /// Gets those who are to be given up by now.
-    pub fn due(&self, now: Moment) -> Vec<Ticket> {
-        let due = self.by_give_up.iter().take_while(|(give_up, _)| *give_up <= now);
+    pub fn expired_tickets(&self, now: Moment) -> Vec<Ticket> {
+        let due = self.by_expiry.iter().take_while(|(expires_at, _)| *expires_at <= now);
 
         due.map(|(_, ticket)| *ticket).collect()
     }
 
     /// Takes out those who are to be given up by now.
-    pub fn expired(&mut self, now: Moment) -> Vec<(Ticket, Waiter, T)> {
-        let due = self.due(now);
+    pub fn remove_expired(&mut self, now: Moment) -> Vec<(Ticket, Waiter, T)> {
+        let due = self.expired_tickets(now);
         let take = |ticket: Ticket| self.remove(ticket, now).map(|(w, item)| (ticket, w, item));
 
         due.into_iter().filter_map(take).collect()
     }
 
     /// Gets when the next one is to be given up.
-    pub fn next_give_up(&self) -> Option<Moment> {
-        self.by_give_up.first().map(|(give_up, _)| *give_up)
+    pub fn next_expiry(&self) -> Option<Moment> {
+        self.by_expiry.first().map(|(expires_at, _)| *expires_at)
     }
 
     /// Gets one that waits, and what decides on its place.
@@ -244,11 +244,11 @@
     }
 
     /// Sets when one that waits is given up.
-    pub fn set_give_up(&mut self, ticket: Ticket, give_up: Moment) {
+    pub fn set_expiry(&mut self, ticket: Ticket, expires_at: Moment) {
         if let Some(entry) = self.entries.get_mut(&ticket) {
-            self.by_give_up.remove(&(entry.waiter.give_up, ticket));
-            entry.waiter.give_up = give_up;
-            self.by_give_up.insert((give_up, ticket));
+            self.by_expiry.remove(&(entry.waiter.expires_at, ticket));
+            entry.waiter.expires_at = expires_at;
+            self.by_expiry.insert((expires_at, ticket));
         }
     }
 
@@ -278,7 +278,7 @@
 
     /// Gets the newest of those who are less urgent than `urgency` and can't be in time behind all who go first,
     /// and how long it would wait.
-    pub fn hopeless(&self, urgency: Urgency, now: Moment) -> Option<(Ticket, Duration)> {
+    pub fn newest_too_late(&self, urgency: Urgency, now: Moment) -> Option<(Ticket, Duration)> {
         if self.options.order == Order::Arrival {
             return None;
         }
@@ -298,16 +298,16 @@
     }
 
     /// Gets the newest of those who are less urgent than `urgency`, where the queue is full.
-    pub fn displaced_by(&self, urgency: Urgency) -> Option<Ticket> {
-        let is_full = self.entries.len() >= self.options.limit;
+    pub fn eviction_candidate(&self, urgency: Urgency) -> Option<Ticket> {
+        let is_full = self.entries.len() >= self.options.max_waiting;
         let (class, fair) = self.classes.last_key_value().filter(|_| is_full)?;
 
         (*class > Class::Asked(urgency)).then(|| fair.newest())?
     }
 
     /// Gets the places that are given in a second to those who wait, where that was seen lately.
-    pub fn rate(&self) -> Option<f64> {
-        self.flow.rate()
+    pub fn grants_per_s(&self) -> Option<f64> {
+        self.flow.grants_per_s()
     }
 
     /// Gets how long one waits with so many beside it in its class.
@@ -319,11 +319,11 @@
         let before: usize = self.classes.range(..class).map(|(_, fair)| fair.len()).sum();
         // The less urgent take their share of the places meanwhile, where some of them wait.
         let has_behind = self.classes.last_key_value().is_some_and(|(last, _)| *last > class);
-        let part_behind = self.flow.part_behind(urgency).min(LEAST_SHARE);
+        let part_behind = self.flow.fraction_behind(urgency).min(MIN_SHARE);
         let part = if has_behind { 1.0 - part_behind } else { 1.0 };
-        let in_order_s = (before + beside) as f64 / (self.flow.rate()? * part);
+        let in_order_s = (before + beside) as f64 / (self.flow.grants_per_s()? * part);
         // What its urgency gets may be more than what the others leave over.
-        let in_share_s = beside as f64 / self.flow.rate_of(urgency)?;
+        let in_share_s = beside as f64 / self.flow.grants_per_s_of(urgency)?;
         let wait_s = in_order_s.min(in_share_s).min(MAX_EXPECTED.as_secs_f64());
 
         Some(Duration::from_secs_f64(wait_s))
@@ -339,7 +339,7 @@
     fn next_class(&self) -> Option<Class> {
         let first = *self.classes.first_key_value()?.0;
 
-        if first == Class::GoesOn || self.classes.len() == 1 {
+        if first == Class::Resumed || self.classes.len() == 1 {
             return Some(first);
         }
 
@@ -362,8 +362,8 @@
     fn position<'a>(&self, waiter: &'a Waiter) -> (Class, &'a str, Moment) {
         let by_arrival = self.options.order == Order::Arrival;
 
-        match (waiter.goes_on, by_arrival) {
-            (true, _) => (Class::GoesOn, "", Moment::ZERO),
+        match (waiter.is_resumed, by_arrival) {
+            (true, _) => (Class::Resumed, "", Moment::ZERO),
             (false, true) => (Class::Asked((0, 0)), "", Moment::ZERO),
             (false, false) => (Class::Asked(waiter.urgency), &waiter.organisation, waiter.start_by),
         }
@@ -379,7 +379,7 @@
 
     fn take(&mut self, ticket: Ticket, spends: bool) -> Option<Entry<T>> {
         let entry = self.entries.remove(&ticket)?;
-        self.by_give_up.remove(&(entry.waiter.give_up, ticket));
+        self.by_expiry.remove(&(entry.waiter.expires_at, ticket));
         let (class, organisation, start_by) = self.position(&entry.waiter);
 
         if let Some(fair) = self.classes.get_mut(&class) {
@@ -393,7 +393,7 @@
         Some(entry)
     }
 
-    fn pass(&mut self, now: Moment) {
-        self.flow.pass(!self.entries.is_empty(), now);
+    fn advance(&mut self, now: Moment) {
+        self.flow.advance(!self.entries.is_empty(), now);
     }
 }
--- a/grebedeck-admission/src/returns.rs
+++ b/grebedeck-admission/src/returns.rs
@@ -22,36 +22,37 @@
 
 /// The room to come.
 #[derive(Clone, Copy, Debug)]
-pub struct Schedule {
+pub struct ExpectedCapacity {
     /// Time until the next place for one that is refused.
-    pub first: Duration,
+    pub first_place_in: Duration,
     /// Places that are given in a second.
-    pub rate: f64,
+    pub rate_per_s: f64,
     /// Time that is left to the caller.
-    pub left: Duration,
+    pub time_left: Duration,
 }
 
 /// Slots that were told, by urgency.
 #[derive(Clone, Debug, Default)]
-pub struct Returns {
+pub struct RetrySlots {
     free_from: BTreeMap<Urgency, Moment>,
 }
 
-impl Returns {
+impl RetrySlots {
     /// Gets how long a caller should wait before it asks again, and takes its slot.
     pub fn retry_after(
         &mut self,
         urgency: Urgency,
-        schedule: Schedule,
+        schedule: ExpectedCapacity,
         now: Moment,
         random: &mut impl RandomSource,
     ) -> Duration {
         self.free_from.retain(|_, from| *from > now);
         let taken = self.free_from.range(..=urgency).map(|(_, from)| *from).max();
-        let from = taken.unwrap_or_default().max(now + schedule.first);
-        let slot = Duration::from_secs_f64(1.0 / schedule.rate.max(f64::MIN_POSITIVE).max(1e-3));
+        let from = taken.unwrap_or_default().max(now + schedule.first_place_in);
+        let slot =
+            Duration::from_secs_f64(1.0 / schedule.rate_per_s.max(f64::MIN_POSITIVE).max(1e-3));
         let wait = (from - now) + slot.mul_f64(random.unit());
-        let longest = schedule.left.mul_f64(LONGEST_PART);
+        let longest = schedule.time_left.mul_f64(LONGEST_PART);
 
         if wait > longest {
             // Who is told to wait for longer gives up, or comes when it likes.
--- a/grebedeck-admission/src/share.rs
+++ b/grebedeck-admission/src/share.rs
@@ -2,7 +2,7 @@
 //!
 //! It answers a load that stays beyond the room: strict order by urgency would serve the least urgent never. What is
 //! asked and what is served is counted for each urgency, with older counts worth less, and an urgency that is served
-//! less than [`LEAST_SHARE`] as often as all goes first until it is not.
+//! less than [`MIN_SHARE`] as often as all goes first until it is not.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,7 +15,7 @@
 /// below 0.25, and each kind has to earn 0.3 to 0.5 of its worth, nearly all of which is for answers in time: with room
 /// for two thirds of what is asked half as often is a third, and with room for all but a few it leaves nobody out. A
 /// greater share would be taken from callers who asked to go first.
-pub const LEAST_SHARE: f64 = 0.5;
+pub const MIN_SHARE: f64 = 0.5;
 /// Time after which a count is worth a third of a new one: some times as long as the longest wait, so that bursts of
 /// a second do not count as starving, and short beside the minutes after which callers complain.
 pub const MEMORY: Duration = Duration::from_secs(5);
@@ -43,13 +43,13 @@
 
 impl Shares {
     /// Notes a request.
-    pub fn note_asked(&mut self, urgency: Urgency, now: Moment) {
+    pub fn record_arrival(&mut self, urgency: Urgency, now: Moment) {
         self.fade(now);
         self.counts.entry(urgency).or_default().asked += 1.0;
     }
 
     /// Notes that a request got its place.
-    pub fn note_served(&mut self, urgency: Urgency, now: Moment) {
+    pub fn record_served(&mut self, urgency: Urgency, now: Moment) {
         self.fade(now);
         self.counts.entry(urgency).or_default().served += 1.0;
     }
@@ -62,7 +62,7 @@
             return 0.0;
         }
 
-        let least = LEAST_SHARE * self.total().served_part();
+        let least = MIN_SHARE * self.total().served_part();
 
         (least - count.served_part()).max(0.0)
     }
--- a/grebedeck-admission/tests/load.rs
+++ b/grebedeck-admission/tests/load.rs
@@ -8,7 +8,9 @@
 use std::collections::{BTreeMap, BinaryHeap};
 use std::time::Duration;
 
-use grebedeck_admission::{Order, Queue, QueueOptions, Returns, Schedule, Ticket, Urgency, Waiter};
+use grebedeck_admission::{
+    ExpectedCapacity, Order, Queue, QueueOptions, RetrySlots, Ticket, Urgency, Waiter,
+};
 use grebedeck_core::random::SeededSource;
 use grebedeck_core::{Moment, RandomSource};
 
@@ -106,7 +108,7 @@
 struct Play {
     load: Load,
     queue: Queue<Call>,
-    returns: Returns,
+    returns: RetrySlots,
     random: SeededSource,
     /// Ends of the requests that have a place.
     ends: BinaryHeap<Reverse<Moment>>,
@@ -125,7 +127,7 @@
             ..options
         }),
         load,
-        returns: Returns::default(),
+        returns: RetrySlots::default(),
         ends: BinaryHeap::new(),
         coming: BTreeMap::new(),
         number: 0,
@@ -193,7 +195,7 @@
 
         self.give_places(now);
 
-        for (_, waiter, call) in self.queue.expired(now) {
+        for (_, waiter, call) in self.queue.remove_expired(now) {
             self.refuse(call, waiter.urgency, now);
         }
 
@@ -240,12 +242,12 @@
             weight: 1,
             tokens: 1,
             start_by,
-            give_up: start_by + MS(self.load.hold_ms),
-            goes_on: false,
+            expires_at: start_by + MS(self.load.hold_ms),
+            is_resumed: false,
         };
 
         if self.queue.is_empty() && self.ends.len() < PLACES && !self.is_out(now) {
-            self.queue.note_at_once(kind.urgency, now);
+            self.queue.record_immediate(kind.urgency, now);
             return self.serve(call, now);
         }
 
@@ -253,7 +255,7 @@
         let wait = self.queue.expected_wait(&waiter).filter(|_| is_ranked);
 
         if wait.is_some_and(|wait| now + wait > start_by) {
-            self.queue.note_refused(kind.urgency, now);
+            self.queue.record_refused(kind.urgency, now);
             return self.refuse(call, kind.urgency, now);
         }
 
@@ -261,7 +263,9 @@
             return self.refuse(call, kind.urgency, now);
         }
 
-        while let Some((ticket, _)) = self.queue.hopeless(kind.urgency, now).filter(|_| is_ranked) {
+        while let Some((ticket, _)) =
+            self.queue.newest_too_late(kind.urgency, now).filter(|_| is_ranked)
+        {
             self.turn_out(ticket, now);
         }
     }
@@ -278,9 +282,9 @@
             return self.note(call, false, false);
         }
 
-        let left = (call.first_try + MS(8000)).saturating_sub(now);
-        let rate = self.queue.rate().unwrap_or(CAPACITY);
-        let schedule = Schedule { first: MS(50), rate, left };
+        let time_left = (call.first_try + MS(8000)).saturating_sub(now);
+        let rate_per_s = self.queue.grants_per_s().unwrap_or(CAPACITY);
+        let schedule = ExpectedCapacity { first_place_in: MS(50), rate_per_s, time_left };
         let wait = self.returns.retry_after(urgency, schedule, now, &mut self.random);
         let wait = if call.abuses { MS(5) } else { wait };
         self.come(Call { tries: call.tries + 1, ..call }, now + wait);
--- a/grebedeck-admission/tests/order.rs
+++ b/grebedeck-admission/tests/order.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use grebedeck_admission::share::LEAST_SHARE;
+use grebedeck_admission::share::MIN_SHARE;
 use grebedeck_admission::{Order, Queue, QueueOptions, Ticket, Waiter};
 use grebedeck_core::Moment;
 use proptest::prelude::*;
@@ -26,8 +26,8 @@
         weight: 1,
         tokens: TURN,
         start_by: MS(start_by_ms),
-        give_up: MS(start_by_ms),
-        goes_on: false,
+        expires_at: MS(start_by_ms),
+        is_resumed: false,
     }
 }
 
@@ -43,11 +43,11 @@
         queue.push(waiter(urgency, "a", 100 + u64::from(item)), item, MS(0)).expect("room");
     }
 
-    let moved = Waiter { goes_on: true, ..waiter(2, "a", 900) };
+    let moved = Waiter { is_resumed: true, ..waiter(2, "a", 900) };
     queue.push(moved, 5, MS(0)).expect("room");
 
     assert_eq!(popped(&mut queue, MS(1)), [5, 2, 4, 3, 1]);
-    assert!(queue.is_empty() && queue.next_give_up().is_none());
+    assert!(queue.is_empty() && queue.next_expiry().is_none());
 }
 
 /// A key's rank goes before its requests' routes' own, and theirs decide where keys have the same.
@@ -147,7 +147,7 @@
         let start_by_ms = step * 10 + 400;
         queue.push(waiter(urgency, "a", start_by_ms), 0, now).expect("room");
         *asked.entry(urgency).or_default() += 1;
-        queue.expired(now);
+        queue.remove_expired(now);
 
         if step % 3 != 0
             && let Some((waiter, _)) = queue.pop(now)
@@ -159,8 +159,8 @@
     let part = |urgency: u8| f64::from(served[&urgency]) / f64::from(asked[&urgency]);
     let all = f64::from(served.values().sum::<u32>()) / f64::from(asked.values().sum::<u32>());
     assert!((0.64..0.68).contains(&all), "{all}");
-    assert!(part(2) >= 0.95 * LEAST_SHARE * all, "{} of {all}", part(2));
-    assert!(part(2) <= 1.15 * LEAST_SHARE * all, "{} of {all}", part(2));
+    assert!(part(2) >= 0.95 * MIN_SHARE * all, "{} of {all}", part(2));
+    assert!(part(2) <= 1.15 * MIN_SHARE * all, "{} of {all}", part(2));
     assert!(part(0) > 0.95, "{}", part(0));
 }
 
@@ -173,22 +173,23 @@
 
     assert!(queue.remove(tickets[1], MS(1)).is_some());
     assert!(queue.remove(tickets[1], MS(1)).is_none(), "only once");
-    queue.set_give_up(tickets[0], MS(500));
-    let expired: Vec<Ticket> = queue.expired(MS(102)).into_iter().map(|(t, ..)| t).collect();
+    queue.set_expiry(tickets[0], MS(500));
+    let expired: Vec<Ticket> = queue.remove_expired(MS(102)).into_iter().map(|(t, ..)| t).collect();
     assert_eq!(expired, [tickets[2]]);
-    assert_eq!(queue.next_give_up(), Some(MS(103)));
+    assert_eq!(queue.next_expiry(), Some(MS(103)));
     assert_eq!(popped(&mut queue, MS(102)), [3, 0], "the one that can be in time first");
 }
 
 #[test]
 fn a_full_queue_takes_nobody_and_the_least_urgent_make_room() {
-    let mut queue: Queue<u32> = Queue::new(QueueOptions { limit: 2, ..options(Order::Urgency) });
+    let mut queue: Queue<u32> =
+        Queue::new(QueueOptions { max_waiting: 2, ..options(Order::Urgency) });
     queue.push(waiter(1, "a", 100), 1, MS(0)).expect("room");
     let last = queue.push(waiter(2, "a", 100), 2, MS(0)).expect("room");
 
     assert_eq!(queue.push(waiter(1, "a", 100), 3, MS(0)), Err(3));
-    assert_eq!(queue.displaced_by((1, 2)), None, "nobody is less urgent");
-    assert_eq!(queue.displaced_by((1, 1)), Some(last));
+    assert_eq!(queue.eviction_candidate((1, 2)), None, "nobody is less urgent");
+    assert_eq!(queue.eviction_candidate((1, 1)), Some(last));
 }
 
 #[test]
@@ -229,13 +230,17 @@
     assert_eq!(queue.expected_wait(&waiter(2, "a", 1400)), Some(MS(0)), "the first of its urgency");
 
     let first = queue.push(waiter(2, "a", 1400), 100, MS(1000)).expect("room");
-    assert_eq!(queue.hopeless((1, 0), MS(1000)), None);
+    assert_eq!(queue.newest_too_late((1, 0), MS(1000)), None);
     let second = queue.push(waiter(2, "a", 1400), 101, MS(1000)).expect("room");
-    let hopeless = queue.hopeless((1, 0), MS(1000)).map(|(ticket, _)| ticket);
+    let hopeless = queue.newest_too_late((1, 0), MS(1000)).map(|(ticket, _)| ticket);
     assert_eq!(hopeless, Some(second));
-    assert_eq!(queue.hopeless((1, 2), MS(1000)), None, "nobody is less urgent");
+    assert_eq!(queue.newest_too_late((1, 2), MS(1000)), None, "nobody is less urgent");
     queue.remove(second, MS(1000));
-    assert_eq!(queue.hopeless((1, 0), MS(1000)), None, "{first} keeps the share of its urgency");
+    assert_eq!(
+        queue.newest_too_late((1, 0), MS(1000)),
+        None,
+        "{first} keeps the share of its urgency"
+    );
 }
 
 /// Places that were given when there was room say nothing of how much room there is.
@@ -257,7 +262,7 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    Push { urgency: u8, organisation: u8, tokens: u64, patience_ms: u64, goes_on: bool },
+    Push { urgency: u8, organisation: u8, tokens: u64, patience_ms: u64, is_resumed: bool },
     Pop,
     Remove(usize),
     Expire,
@@ -268,8 +273,8 @@
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         4 => (0..4u8, 0..5u8, 0..9000u64, 0..900u64, prop::bool::weighted(0.1)).prop_map(
-            |(urgency, organisation, tokens, patience_ms, goes_on)| Step::Push {
-                urgency, organisation, tokens, patience_ms, goes_on
+            |(urgency, organisation, tokens, patience_ms, is_resumed)| Step::Push {
+                urgency, organisation, tokens, patience_ms, is_resumed
             }
         ),
         3 => Just(Step::Pop),
@@ -293,11 +298,11 @@
             let item = item as u32;
 
             match step {
-                Step::Push { urgency, organisation, tokens, patience_ms, goes_on } => {
+                Step::Push { urgency, organisation, tokens, patience_ms, is_resumed } => {
                     let start_by = now + MS(patience_ms);
                     let waiter = Waiter {
                         urgency: (urgency / 2, urgency), organisation: format!("o{organisation}"), weight: 1, tokens,
-                        start_by, give_up: start_by, goes_on,
+                        start_by, expires_at: start_by, is_resumed,
                     };
                     let ticket = queue.push(waiter.clone(), item, now).expect("room");
                     prop_assert!(present.insert(ticket, (waiter, item)).is_none());
@@ -311,10 +316,10 @@
 
                     if let Some((ticket, _)) = next {
                         let (waiter, _) = present.remove(&ticket).expect("was not served before");
-                        let goes_on = present.values().filter(|(w, _)| w.goes_on).count();
-                        prop_assert!(waiter.goes_on || goes_on == 0);
-                        let older = present.iter().filter(|(t, (w, _))| **t < ticket && !w.goes_on);
-                        let by_arrival = queue.order() == Order::Arrival && !waiter.goes_on;
+                        let is_resumed = present.values().filter(|(w, _)| w.is_resumed).count();
+                        prop_assert!(waiter.is_resumed || is_resumed == 0);
+                        let older = present.iter().filter(|(t, (w, _))| **t < ticket && !w.is_resumed);
+                        let by_arrival = queue.order() == Order::Arrival && !waiter.is_resumed;
                         prop_assert!(!by_arrival || older.count() == 0);
                     }
                 }
@@ -324,11 +329,11 @@
                     prop_assert_eq!(queue.remove(ticket, now).map(|(_, item)| item), expected);
                 }
                 Step::Expire => {
-                    for (ticket, waiter, _) in queue.expired(now) {
-                        prop_assert!(waiter.give_up <= now);
+                    for (ticket, waiter, _) in queue.remove_expired(now) {
+                        prop_assert!(waiter.expires_at <= now);
                         prop_assert!(present.remove(&ticket).is_some());
                     }
-                    prop_assert!(present.values().all(|(w, _)| w.give_up > now));
+                    prop_assert!(present.values().all(|(w, _)| w.expires_at > now));
                 }
                 Step::Reorder(by_arrival) => {
                     let order = if by_arrival { Order::Arrival } else { Order::Urgency };
@@ -338,7 +343,7 @@
             }
 
             prop_assert_eq!(queue.len(), present.len());
-            prop_assert_eq!(queue.waiting().values().sum::<usize>(), present.len());
+            prop_assert_eq!(queue.waiting_by_urgency().values().sum::<usize>(), present.len());
         }
     }
 
--- a/grebedeck-admission/tests/returns.rs
+++ b/grebedeck-admission/tests/returns.rs
@@ -2,19 +2,19 @@
 
 use std::time::Duration;
 
-use grebedeck_admission::{Returns, Schedule};
+use grebedeck_admission::{ExpectedCapacity, RetrySlots};
 use grebedeck_core::random::SeededSource;
 
 const MS: fn(u64) -> Duration = Duration::from_millis;
 
-fn schedule() -> Schedule {
-    Schedule { first: MS(100), rate: 50.0, left: MS(6000) }
+fn schedule() -> ExpectedCapacity {
+    ExpectedCapacity { first_place_in: MS(100), rate_per_s: 50.0, time_left: MS(6000) }
 }
 
 /// Callers that are refused in the same moment come back one after another, as fast as places are given.
 #[test]
 fn those_refused_together_do_not_come_back_together() {
-    let (mut returns, mut random) = (Returns::default(), SeededSource::new(1));
+    let (mut returns, mut random) = (RetrySlots::default(), SeededSource::new(1));
     let mut waits: Vec<Duration> =
         (0..50).map(|_| returns.retry_after((1, 1), schedule(), MS(0), &mut random)).collect();
     waits.sort();
@@ -31,7 +31,7 @@
 
 #[test]
 fn the_less_urgent_come_back_behind_the_more_urgent() {
-    let (mut returns, mut random) = (Returns::default(), SeededSource::new(2));
+    let (mut returns, mut random) = (RetrySlots::default(), SeededSource::new(2));
 
     for _ in 0..20 {
         returns.retry_after((1, 0), schedule(), MS(0), &mut random);
@@ -52,7 +52,7 @@
 /// Callers do not wait for longer than a third of their time; those beyond are spread.
 #[test]
 fn nobody_is_told_to_wait_for_longer_than_callers_do() {
-    let (mut returns, mut random) = (Returns::default(), SeededSource::new(3));
+    let (mut returns, mut random) = (RetrySlots::default(), SeededSource::new(3));
     let waits: Vec<Duration> =
         (0..500).map(|_| returns.retry_after((1, 1), schedule(), MS(0), &mut random)).collect();
     assert!(waits.iter().all(|wait| *wait <= MS(2000)), "{waits:?}");
@@ -68,8 +68,8 @@
 
 #[test]
 fn a_rate_of_nothing_does_no_harm() {
-    let (mut returns, mut random) = (Returns::default(), SeededSource::new(4));
-    let schedule = Schedule { rate: 0.0, ..schedule() };
+    let (mut returns, mut random) = (RetrySlots::default(), SeededSource::new(4));
+    let schedule = ExpectedCapacity { rate_per_s: 0.0, ..schedule() };
 
     assert!(returns.retry_after((1, 0), schedule, MS(0), &mut random) <= MS(2000));
 }
--- a/grebedeck-lab/src/cost/probes/order.rs
+++ b/grebedeck-lab/src/cost/probes/order.rs
@@ -19,14 +19,14 @@
         weight: 1,
         tokens: 200 + drawn % 4000,
         start_by: MS(1000 + drawn % 800),
-        give_up: MS(1000 + drawn % 900),
-        goes_on: false,
+        expires_at: MS(1000 + drawn % 900),
+        is_resumed: false,
     }
 }
 
 fn queue(waiting: usize) -> (Queue<u64>, Vec<Ticket>) {
     let options =
-        QueueOptions { order: Order::Urgency, turn_tokens: 1000, limit: 2 * waiting + 1000 };
+        QueueOptions { order: Order::Urgency, turn_tokens: 1000, max_waiting: 2 * waiting + 1000 };
     let mut queue = Queue::new(options);
     let push = |at| queue.push(waiter(at), at, MS(0)).unwrap_or_default();
     let tickets = (0..waiting as u64).map(push).collect();
--- a/grebedeck/src/gateway/entering.rs
+++ b/grebedeck/src/gateway/entering.rs
@@ -44,7 +44,7 @@
     let reason = if is_first {
         match place::take(gateway, request, tried, now) {
             Ok(place) => {
-                gateway.waiting.with(service, |line| line.queue.note_at_once(urgency, now));
+                gateway.waiting.with(service, |line| line.queue.record_immediate(urgency, now));
                 return Ok(Entered::Placed(place));
             }
             Err(reason) => handout::note_obstacle(gateway, service, reason),
@@ -98,17 +98,19 @@
         _ => return Ok(()),
     };
 
-    if waiter.goes_on {
+    if waiter.is_resumed {
         return Ok(());
     }
 
     if let Some((_, reason)) = expected.filter(|(wait, _)| now + *wait > waiter.start_by) {
-        gateway.waiting.with(service, |line| line.queue.note_refused(waiter.urgency, now));
+        gateway.waiting.with(service, |line| line.queue.record_refused(waiter.urgency, now));
         return Err(reason);
     }
 
-    while let Some((ticket, wait)) =
-        gateway.waiting.with(service, |line| line.queue.hopeless(waiter.urgency, now)).flatten()
+    while let Some((ticket, wait)) = gateway
+        .waiting
+        .with(service, |line| line.queue.newest_too_late(waiter.urgency, now))
+        .flatten()
     {
         handout::answer(gateway, service, ticket, Err(NoPlace::Behind(wait)), now);
     }
@@ -142,8 +144,8 @@
         weight: WEIGHT,
         tokens,
         start_by,
-        give_up,
-        goes_on: place::goes_on(request, tried),
+        expires_at: give_up,
+        is_resumed: place::goes_on(request, tried),
     }
 }
 
@@ -159,7 +161,8 @@
     let (sender, receiver) = oneshot::channel();
     let seeker = Seeker { request: request.clone(), tried: tried.to_vec(), answer: sender };
 
-    if let Some(ticket) = gateway.waiting.with(service, |l| l.queue.displaced_by(urgency)).flatten()
+    if let Some(ticket) =
+        gateway.waiting.with(service, |l| l.queue.eviction_candidate(urgency)).flatten()
     {
         handout::answer(gateway, service, ticket, Err(NoPlace::Full), now);
     }
--- a/grebedeck/src/gateway/handout.rs
+++ b/grebedeck/src/gateway/handout.rs
@@ -46,7 +46,7 @@
             }
             Err(reason) => {
                 give_up(gateway, service, reason, now);
-                let next = gateway.waiting.with(service, |line| line.queue.next_give_up());
+                let next = gateway.waiting.with(service, |line| line.queue.next_expiry());
                 let left = next.flatten()?.saturating_sub(now);
 
                 return Some(pause(reason).min(left).max(MIN_WAIT));
@@ -90,10 +90,11 @@
     // How far off the end of an outage is changes for all of them all the time.
     let concerns_all = is_other || (is_overdue && matches!(reason, NoPlace::Out(_)));
     let asked = gateway.waiting.with(service, |line| {
-        let tickets = if concerns_all { line.queue.tickets() } else { line.queue.due(now) };
+        let tickets =
+            if concerns_all { line.queue.tickets() } else { line.queue.expired_tickets(now) };
         let request = |ticket: &Ticket| {
             let (waiter, seeker) = line.queue.get(*ticket)?;
-            Some((*ticket, waiter.give_up, seeker.request.clone()))
+            Some((*ticket, waiter.expires_at, seeker.request.clone()))
         };
 
         tickets.iter().filter_map(request).collect::<Vec<_>>()
@@ -102,7 +103,7 @@
     for (ticket, give_up, request) in asked.unwrap_or_default() {
         match hold::held_until(gateway, &request, reason, give_up, now) {
             Some(until) => {
-                gateway.waiting.with(service, |line| line.queue.set_give_up(ticket, until));
+                gateway.waiting.with(service, |line| line.queue.set_expiry(ticket, until));
             }
             None => answer(gateway, service, ticket, Err(reason), now),
         }
--- a/grebedeck/src/gateway/waiting.rs
+++ b/grebedeck/src/gateway/waiting.rs
@@ -9,7 +9,9 @@
 use std::time::Duration;
 
 use futures::channel::oneshot;
-use grebedeck_admission::{Order, Queue, QueueOptions, Returns, Schedule, Ticket, Urgency};
+use grebedeck_admission::{
+    ExpectedCapacity, Order, Queue, QueueOptions, RetrySlots, Ticket, Urgency,
+};
 use grebedeck_core::{Moment, ServiceName};
 use grebedeck_gateway::{EngineSpec, RouteTable, TargetId};
 use serde_json::json;
@@ -43,7 +45,7 @@
     /// Them, in order.
     pub queue: Queue<Seeker>,
     /// When those who are refused come back.
-    pub returns: Returns,
+    pub retry_slots: RetrySlots,
     /// Whether a task hands places out.
     pub is_served: bool,
     /// What they wait for.
@@ -100,7 +102,8 @@
 
     /// Gets how many wait for a service, by the urgency of their routes, for a dump.
     pub fn dump(&self, service: &str) -> serde_json::Value {
-        let waiting = self.with(service, |line| line.queue.waiting()).unwrap_or_default();
+        let waiting =
+            self.with(service, |line| line.queue.waiting_by_urgency()).unwrap_or_default();
         let mut by_urgency: BTreeMap<String, usize> = BTreeMap::new();
 
         for ((_, of_route), count) in waiting {
@@ -122,10 +125,11 @@
     ) -> Option<Duration> {
         let mut random = ProcessRandom::default();
         let place = |line: &mut Line| {
-            let rate = line.queue.rate().filter(|_| line.queue.order() == Order::Urgency)?;
-            let schedule = Schedule { first, rate, left };
+            let rate_per_s =
+                line.queue.grants_per_s().filter(|_| line.queue.order() == Order::Urgency)?;
+            let expected = ExpectedCapacity { first_place_in: first, rate_per_s, time_left: left };
 
-            Some(line.returns.retry_after(urgency, schedule, now, &mut random))
+            Some(line.retry_slots.retry_after(urgency, expected, now, &mut random))
         };
 
         self.with(service, place).flatten()
@@ -178,7 +182,7 @@
         if !lines.contains_key(service) {
             let line = Line {
                 queue: Queue::new(options(table, is_ranked, service)),
-                returns: Returns::default(),
+                retry_slots: RetrySlots::default(),
                 is_served: false,
                 obstacle: Obstacle { reason: NoPlace::Full, is_overdue: false },
             };
