--- a/grebedeck-config/src/change.rs
+++ b/grebedeck-config/src/change.rs
@@ -106,7 +106,7 @@
             self.check_capacity(document, &next, &mut faults);
         }
 
-        faults.or(next)
+        faults.into_result(next)
     }
 
     /// Adds a fault for each organisation that had capacity, or is new, and is left with none.
--- a/grebedeck-config/src/document.rs
+++ b/grebedeck-config/src/document.rs
@@ -148,7 +148,7 @@
         self.check_targets(&mut faults);
         self.check_selectors(&mut faults);
 
-        faults.or(())
+        faults.into_result(())
     }
 
     fn check_names(&self, faults: &mut Faults) {
--- a/grebedeck-core/src/error.rs
+++ b/grebedeck-core/src/error.rs
@@ -27,7 +27,7 @@
     Faults(Faults),
     /// A peer turned a call away, and wants to be left alone for this time.
     #[error("wants to be left alone for {0:?}")]
-    Resting(Duration),
+    RetryAfter(Duration),
     /// The platform could not be reached or gave an error.
     #[error("platform: {0}")]
     Platform(String),
@@ -97,7 +97,7 @@
     }
 
     /// Gives `value` where nothing was found, or else all faults.
-    pub fn or<T>(self, value: T) -> std::result::Result<T, Faults> {
+    pub fn into_result<T>(self, value: T) -> std::result::Result<T, Faults> {
         if self.0.is_empty() { Ok(value) } else { Err(self) }
     }
 }
--- a/grebedeck-core/src/outcome.rs
+++ b/grebedeck-core/src/outcome.rs
@@ -22,7 +22,7 @@
 
 impl Outcome {
     /// Gets the word that stands in the outcome header.
-    pub fn word(&self) -> &'static str {
+    pub fn as_str(&self) -> &'static str {
         match self {
             Outcome::Done => "done",
             Outcome::Refused(_) => "refused",
--- a/grebedeck-kernel/src/log.rs
+++ b/grebedeck-kernel/src/log.rs
@@ -143,21 +143,21 @@
 
 /// Lets a number of lines through in each second, and counts the others.
 #[derive(Clone, Debug)]
-pub struct LineBudget {
+pub struct LineRateLimiter {
     per_s: f64,
     saved: f64,
     at: Duration,
     left_out: u64,
 }
 
-impl LineBudget {
+impl LineRateLimiter {
     /// Makes a budget that lets `per_s` through, and as many at once after a pause.
     pub fn new(per_s: f64) -> Self {
-        LineBudget { per_s, saved: per_s, at: Duration::ZERO, left_out: 0 }
+        LineRateLimiter { per_s, saved: per_s, at: Duration::ZERO, left_out: 0 }
     }
 
     /// Takes one; where there is none left, it is counted.
-    pub fn take(&mut self, now: Duration) -> bool {
+    pub fn try_acquire(&mut self, now: Duration) -> bool {
         let passed = now.saturating_sub(self.at).as_secs_f64();
         self.at = now;
         self.saved = (self.saved + passed * self.per_s).min(self.per_s);
@@ -172,12 +172,12 @@
     }
 
     /// Takes one, where there is one left; gives how many were not let through before it.
-    pub fn take_line(&mut self, now: Duration) -> Option<u64> {
-        self.take(now).then(|| self.take_left_out())
+    pub fn try_acquire_line(&mut self, now: Duration) -> Option<u64> {
+        self.try_acquire(now).then(|| self.take_suppressed())
     }
 
     /// Gets how many were not let through since this was asked last.
-    pub fn take_left_out(&mut self) -> u64 {
+    pub fn take_suppressed(&mut self) -> u64 {
         std::mem::take(&mut self.left_out)
     }
 }
--- a/grebedeck-kernel/src/metrics.rs
+++ b/grebedeck-kernel/src/metrics.rs
@@ -85,7 +85,7 @@
     }
 
     /// Adds a gauge that is read when the metrics are, with values told apart by `label`.
-    pub fn gauge_by(
+    pub fn labelled_gauge(
         &self,
         name: &'static str,
         label: &'static str,
@@ -111,7 +111,7 @@
 
 impl Histogram {
     /// Notes a time.
-    pub fn note(&self, time: Duration, label: &'static str) {
+    pub fn record(&self, time: Duration, label: &'static str) {
         self.histogram.record(time.as_secs_f64(), &[KeyValue::new(self.label, label)]);
     }
 }
--- a/grebedeck-kernel/tests/log.rs
+++ b/grebedeck-kernel/tests/log.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use grebedeck_kernel::log::{LineBudget, LogQueue};
+use grebedeck_kernel::log::{LineRateLimiter, LogQueue};
 
 /// An output that takes nothing before it is told to.
 struct Stalled {
@@ -60,11 +60,11 @@
 
 #[test]
 fn a_budget_lets_a_rate_through_and_counts_the_rest() {
-    let mut budget = LineBudget::new(10.0);
-    let taken = (0..50).filter(|_| budget.take(Duration::from_secs(1))).count();
+    let mut budget = LineRateLimiter::new(10.0);
+    let taken = (0..50).filter(|_| budget.try_acquire(Duration::from_secs(1))).count();
 
     assert_eq!(taken, 10);
-    assert_eq!(budget.take_left_out(), 40);
-    assert!(budget.take(Duration::from_millis(1100)), "one more after a tenth of a second");
-    assert_eq!(budget.take_left_out(), 0);
+    assert_eq!(budget.take_suppressed(), 40);
+    assert!(budget.try_acquire(Duration::from_millis(1100)), "one more after a tenth of a second");
+    assert_eq!(budget.take_suppressed(), 0);
 }
--- a/grebedeck/src/agent/service.rs
+++ b/grebedeck/src/agent/service.rs
@@ -7,7 +7,7 @@
 use grebedeck_core::{AttemptId, Incarnation, Moment};
 use grebedeck_gateway::Rest;
 use grebedeck_gateway::rest::asked_rest;
-use grebedeck_kernel::log::LineBudget;
+use grebedeck_kernel::log::LineRateLimiter;
 use grebedeck_kernel::{Clock, Counter, Metrics, Service, log};
 use grebedeck_net::http::HttpClient;
 use grebedeck_routing::{Gate, GateOptions, LoadReport, Start, StrikeAnswer, Verdict};
@@ -35,7 +35,7 @@
 /// Until when the target itself wants nothing, and the lines on that.
 struct TargetRest {
     rest: Rest,
-    lines: LineBudget,
+    lines: LineRateLimiter,
 }
 
 /// Notes in the gate that an attempt ended, when it is dropped.
@@ -88,7 +88,7 @@
             ),
             rest: Mutex::new(TargetRest {
                 rest: Rest::default(),
-                lines: LineBudget::new(LINES_PER_S),
+                lines: LineRateLimiter::new(LINES_PER_S),
             }),
             gate: Mutex::new(Gate::new(incarnation, unix_ms(), options)),
             crashes: Mutex::default(),
@@ -141,7 +141,7 @@
             let mut known = self.rest();
             known.rest.ask(asked, now);
 
-            if let Some(left_out) = known.lines.take_line(now) {
+            if let Some(left_out) = known.lines.try_acquire_line(now) {
                 let status = response.status() as u16;
                 log::info!("target rests", kv: { status, rest_ms, left_out });
             }
--- a/grebedeck/src/entry/answer.rs
+++ b/grebedeck/src/entry/answer.rs
@@ -233,7 +233,7 @@
         }
     }
 
-    response.insert_header(OUTCOME_HEADER, Outcome::Done.word());
+    response.insert_header(OUTCOME_HEADER, Outcome::Done.as_str());
 }
 
 /// Makes the response for a request that has no answer from a target.
@@ -247,10 +247,10 @@
     let mut response = Response::new(status);
     response.set_body(format!(
         "{}\n",
-        json!({ "outcome": outcome.word(), "error": reason.to_string() })
+        json!({ "outcome": outcome.as_str(), "error": reason.to_string() })
     ));
     response.insert_header("content-type", "application/json");
-    response.insert_header(OUTCOME_HEADER, outcome.word());
+    response.insert_header(OUTCOME_HEADER, outcome.as_str());
 
     if let Some(wait) = reason.retry_after() {
         response.insert_header("retry-after", wait.as_secs().max(1).to_string());
--- a/grebedeck/src/entry/service.rs
+++ b/grebedeck/src/entry/service.rs
@@ -117,7 +117,7 @@
         match self.clone().serve(request).await {
             Ok(response) => response,
             Err(outcome) => {
-                self.counters.outcomes.add(outcome.word());
+                self.counters.outcomes.add(outcome.as_str());
                 refusal(&outcome)
             }
         }
--- a/grebedeck/src/gateway/caller.rs
+++ b/grebedeck/src/gateway/caller.rs
@@ -169,7 +169,7 @@
         return After::Close;
     };
     let took = gateway.now() - routed.request.arrived;
-    gateway.counters.answer_times.note(took, "whole");
+    gateway.counters.answer_times.record(took, "whole");
     let end = answer.end();
     let written = write_answer(gateway, connection, answer, after).await;
     let is_late = took > routed.admitted.rule.objective;
--- a/grebedeck/src/gateway/counters.rs
+++ b/grebedeck/src/gateway/counters.rs
@@ -98,7 +98,7 @@
 
         let in_line = InLineCounts::default();
         let waiting = in_line.clone();
-        metrics.gauge_by(
+        metrics.labelled_gauge(
             "grebedeck_gateway_waiting",
             "urgency",
             "Requests that wait for a place, by urgency",
--- a/grebedeck/src/gateway/limits.rs
+++ b/grebedeck/src/gateway/limits.rs
@@ -12,7 +12,7 @@
 use grebedeck_gateway::{Limits, Permit, TargetEntry, Verdict};
 use grebedeck_http::ResponseHead;
 use grebedeck_kernel::log;
-use grebedeck_kernel::log::LineBudget;
+use grebedeck_kernel::log::LineRateLimiter;
 use serde_json::json;
 
 use super::service::Gateway;
@@ -30,7 +30,7 @@
     pub(super) demand: RefCell<HashMap<ServiceName, Demand>>,
     /// Told when there may be something to ask coordinators.
     pub(super) changed: Event,
-    lines: RefCell<LineBudget>,
+    lines: RefCell<LineRateLimiter>,
 }
 
 impl Default for LimitState {
@@ -39,7 +39,7 @@
             limits: RefCell::default(),
             demand: RefCell::default(),
             changed: Event::new(),
-            lines: RefCell::new(LineBudget::new(LIMIT_LINES_PER_S)),
+            lines: RefCell::new(LineRateLimiter::new(LIMIT_LINES_PER_S)),
         }
     }
 }
@@ -88,7 +88,7 @@
         self.limits.changed.notify(usize::MAX);
         self.freed.notify(usize::MAX);
 
-        if let Some(left_out) = self.limits.lines.borrow_mut().take_line(self.now()) {
+        if let Some(left_out) = self.limits.lines.borrow_mut().try_acquire_line(self.now()) {
             let target = target.id.as_str();
             log::info!("target's limit", kv: { target, change = word, per_s, from, left_out });
         }
--- a/grebedeck/src/gateway/place.rs
+++ b/grebedeck/src/gateway/place.rs
@@ -161,11 +161,11 @@
 
     match &found {
         Ok(_) => {
-            counters.waits.note(now - began, "placed");
+            counters.waits.record(now - began, "placed");
             counters.admitted.add(urgency_word(request.admitted.rule.priority));
         }
         Err(reason) => {
-            counters.waits.note(now - began, reason.word());
+            counters.waits.record(now - began, reason.word());
             counters.refusals.add(reason.word());
             request.trace.add(now, no_place(gateway, request, *reason, now));
         }
--- a/grebedeck/src/gateway/refusing.rs
+++ b/grebedeck/src/gateway/refusing.rs
@@ -70,7 +70,7 @@
                 let rest_ms = self.rest_left(id, now).as_millis() as u64;
                 self.counters.refusing.add("rests");
 
-                if let Some(left_out) = self.refusing_lines.borrow_mut().take_line(now) {
+                if let Some(left_out) = self.refusing_lines.borrow_mut().try_acquire_line(now) {
                     log::info!("target rests", kv: { target = id, status, rest_ms, left_out });
                 }
             }
@@ -78,7 +78,7 @@
                 let pause_ms = pause.as_millis() as u64;
                 self.counters.refusing.add("paused");
 
-                if let Some(left_out) = self.refusing_lines.borrow_mut().take_line(now) {
+                if let Some(left_out) = self.refusing_lines.borrow_mut().try_acquire_line(now) {
                     log::info!("target paused", kv: { target = id, status, pause_ms, left_out });
                 }
             }
@@ -95,7 +95,7 @@
 
         self.counters.refusing.add("took");
 
-        if let Some(left_out) = self.refusing_lines.borrow_mut().take_line(now) {
+        if let Some(left_out) = self.refusing_lines.borrow_mut().try_acquire_line(now) {
             let target = target.id.as_str();
             log::info!("target takes requests again", kv: { target, left_out });
         }
--- a/grebedeck/src/gateway/service.rs
+++ b/grebedeck/src/gateway/service.rs
@@ -15,7 +15,7 @@
     ColdGate, HeaderNames, Outage, Pacing, Patience, PatienceOptions, PromptRate, Refusals,
     RouteTable, Site, TargetEntry, TargetId, TargetList, WindowBudget, WindowOptions,
 };
-use grebedeck_kernel::log::LineBudget;
+use grebedeck_kernel::log::LineRateLimiter;
 use grebedeck_kernel::{Clock, Metrics, log};
 use grebedeck_routing::{Caution, Chooser, LoadReport, Quarantine};
 
@@ -45,7 +45,7 @@
     pub metrics: Metrics,
     /// What it counts.
     pub counters: Counters,
-    traces: RefCell<LineBudget>,
+    traces: RefCell<LineRateLimiter>,
     /// The platform's header names.
     pub names: HeaderNames,
     /// Runs its tasks.
@@ -88,13 +88,13 @@
     /// Targets that refuse requests or want rest.
     pub(super) refusals: RefCell<Refusals>,
     /// Lines on targets that refuse.
-    pub(super) refusing_lines: RefCell<LineBudget>,
+    pub(super) refusing_lines: RefCell<LineRateLimiter>,
     /// Limits that targets name.
     pub(super) limits: LimitState,
     /// Its part in giving out permits.
     pub(super) quota: QuotaState,
     /// Lines on entries that cannot be read.
-    pub(super) entry_lines: RefCell<LineBudget>,
+    pub(super) entry_lines: RefCell<LineRateLimiter>,
     /// Requests that are not sent any more, and those that may have to be among them.
     pub(super) quarantine: RefCell<Quarantine>,
     /// Requests that were answered lately, of services whose targets' crashes stop others.
@@ -104,7 +104,7 @@
     /// Told when there is something to tell other gateways, or to store.
     pub(super) suspects_news: Event,
     /// Lines on targets that crash.
-    pub(super) suspect_lines: RefCell<LineBudget>,
+    pub(super) suspect_lines: RefCell<LineRateLimiter>,
     /// Requests that wait for a place.
     pub waiting: Waiting,
 }
@@ -124,7 +124,7 @@
             settings: RefCell::new(Rc::new(settings)),
             counters: Counters::new(&metrics),
             metrics,
-            traces: RefCell::new(LineBudget::new(TRACES_PER_S)),
+            traces: RefCell::new(LineRateLimiter::new(TRACES_PER_S)),
             names,
             tasks,
             pool: Pool::default(),
@@ -148,13 +148,13 @@
             patience: RefCell::default(),
             cold: RefCell::default(),
             refusals: RefCell::default(),
-            refusing_lines: RefCell::new(LineBudget::new(REFUSING_LINES_PER_S)),
-            entry_lines: RefCell::new(LineBudget::new(ENTRY_LINES_PER_S)),
+            refusing_lines: RefCell::new(LineRateLimiter::new(REFUSING_LINES_PER_S)),
+            entry_lines: RefCell::new(LineRateLimiter::new(ENTRY_LINES_PER_S)),
             quarantine: RefCell::default(),
             answered: RefCell::default(),
             suspects_changed: Event::new(),
             suspects_news: Event::new(),
-            suspect_lines: RefCell::new(LineBudget::new(SUSPECT_LINES_PER_S)),
+            suspect_lines: RefCell::new(LineRateLimiter::new(SUSPECT_LINES_PER_S)),
             waiting: Waiting::default(),
         };
         gateway.count_gateways();
@@ -378,7 +378,7 @@
             return;
         }
 
-        if self.traces.borrow_mut().take(now) {
+        if self.traces.borrow_mut().try_acquire(now) {
             trace.log(end, now);
         } else {
             self.counters.left_out.add("story");
@@ -387,7 +387,7 @@
 
     /// Tells how many traces were not logged since this was done last.
     pub fn log_left_out(&self) {
-        let count = self.traces.borrow_mut().take_left_out();
+        let count = self.traces.borrow_mut().take_suppressed();
 
         if count > 0 {
             log::warn!("requests not logged", kv: { count });
--- a/grebedeck/src/gateway/starts.rs
+++ b/grebedeck/src/gateway/starts.rs
@@ -32,7 +32,7 @@
     /// Tells of an entry that cannot be read.
     pub(super) fn note_unreadable(&self, id: &str, reason: &str) {
         self.counters.starts.add("unreadable");
-        let line = self.entry_lines.borrow_mut().take_line(self.now());
+        let line = self.entry_lines.borrow_mut().try_acquire_line(self.now());
 
         if let Some(left_out) = line {
             log::warn!("entry not readable", kv: { target = id, reason, left_out });
--- a/grebedeck/src/gateway/stream.rs
+++ b/grebedeck/src/gateway/stream.rs
@@ -263,7 +263,7 @@
         match self.tempo.note_event(arrived, now) {
             None => {
                 let first = now - arrived;
-                counters.first_event_times.note(first, "stream");
+                counters.first_event_times.record(first, "stream");
 
                 if let Some(placed_at) = self.placed_at {
                     self.gateway.note_answer_time(&self.request.service, now - placed_at);
@@ -272,7 +272,7 @@
                 self.tempo.is_late |= first > rule.objective;
             }
             Some(pause) => {
-                counters.pauses.note(pause, "stream");
+                counters.pauses.record(pause, "stream");
 
                 self.gateway.note_pause(&self.request.service, pause, rule);
                 self.tempo.is_late |= rule.pause_limit.is_some_and(|limit| pause > limit);
--- a/grebedeck/src/gateway/suspects.rs
+++ b/grebedeck/src/gateway/suspects.rs
@@ -261,7 +261,7 @@
         self.counters.quarantine.add("crash");
         self.tell_news();
 
-        if let Some(left_out) = self.suspect_lines.borrow_mut().take_line(now) {
+        if let Some(left_out) = self.suspect_lines.borrow_mut().try_acquire_line(now) {
             let (target, service) = (target.id.as_str(), target.service.as_str());
             let (born_ms, is_next) = (start.born.unwrap_or_default(), start.is_next);
             log::warn!("target crashed", kv: { target, service, born_ms, is_next, left_out });
--- a/grebedeck/src/rank/counters.rs
+++ b/grebedeck/src/rank/counters.rs
@@ -77,7 +77,7 @@
         self.decisions.add(kind);
 
         if let RankNote::Released { placement_no, held_for, .. } = note {
-            self.holds.note(*held_for, if placement_no.is_some() { "armed" } else { "nobody" });
+            self.holds.record(*held_for, if placement_no.is_some() { "armed" } else { "nobody" });
         }
     }
 
--- a/grebedeck/src/rank/message.rs
+++ b/grebedeck/src/rank/message.rs
@@ -7,7 +7,7 @@
 use grebedeck_experts::rollout::Message;
 use grebedeck_gateway::QuotaMessage;
 use grebedeck_kernel::log;
-use grebedeck_kernel::log::LineBudget;
+use grebedeck_kernel::log::LineRateLimiter;
 use grebedeck_net::codec::{PREFIX_BYTES, decode, encode};
 use serde::{Deserialize, Serialize};
 
@@ -72,12 +72,12 @@
 /// Reads datagrams, and tells of those that are no datagram of this version.
 #[derive(Debug)]
 pub struct DatagramReader {
-    lines: LineBudget,
+    lines: LineRateLimiter,
 }
 
 impl Default for DatagramReader {
     fn default() -> Self {
-        DatagramReader { lines: LineBudget::new(UNREAD_LINES_PER_S) }
+        DatagramReader { lines: LineRateLimiter::new(UNREAD_LINES_PER_S) }
     }
 }
 
@@ -94,7 +94,7 @@
     }
 
     fn note_unread(&mut self, length_bytes: usize, error: &Error, now: Moment) {
-        if let Some(left_out) = self.lines.take_line(now) {
+        if let Some(left_out) = self.lines.try_acquire_line(now) {
             log::warn!("datagram not understood", kv: {
                 length_bytes, left_out, error = error.to_string(),
             });
--- a/grebedeck/src/rank/rested.rs
+++ b/grebedeck/src/rank/rested.rs
@@ -12,7 +12,7 @@
 use grebedeck_experts::engine::PlacementNo;
 use grebedeck_experts::{OrderEnd, RankAction, RankCounts, RankEngine, RankOrder, RankReport};
 use grebedeck_gateway::Rest;
-use grebedeck_kernel::log::LineBudget;
+use grebedeck_kernel::log::LineRateLimiter;
 use grebedeck_kernel::{Clock, log};
 
 /// Engines whose rest is remembered: more than the ranks of a group.
@@ -31,13 +31,13 @@
     address: SocketAddr,
     clock: Clock,
     rests: Rc<RefCell<Rests>>,
-    lines: Rc<RefCell<LineBudget>>,
+    lines: Rc<RefCell<LineRateLimiter>>,
 }
 
 impl<E: RankEngine> Rested<E> {
     /// Takes the engine at an address, of which nothing is known yet.
     pub fn new(engine: E, address: SocketAddr) -> Self {
-        let lines = Rc::new(RefCell::new(LineBudget::new(LINES_PER_S)));
+        let lines = Rc::new(RefCell::new(LineRateLimiter::new(LINES_PER_S)));
 
         Rested { engine, address, clock: Clock::default(), rests: Rc::default(), lines }
     }
@@ -48,13 +48,13 @@
         let left = self.rests.borrow().get(&self.address).map(|rest| rest.left(now));
 
         match left.filter(|left| !left.is_zero()) {
-            Some(left) => Err(Error::Resting(left)),
+            Some(left) => Err(Error::RetryAfter(left)),
             None => Ok(()),
         }
     }
 
     fn note(&self, error: Option<&Error>) {
-        let Some(Error::Resting(asked)) = error else {
+        let Some(Error::RetryAfter(asked)) = error else {
             return;
         };
         let now = self.clock.now();
@@ -66,7 +66,7 @@
 
         let rest = rests.entry(self.address).or_default();
 
-        if !rest.holds(now) && self.lines.borrow_mut().take(now) {
+        if !rest.holds(now) && self.lines.borrow_mut().try_acquire(now) {
             let rest_ms = asked.as_millis() as u64;
             log::warn!("engine rests", kv: { address = self.address.to_string(), rest_ms });
         }
--- a/grebedeck/src/settings.rs
+++ b/grebedeck/src/settings.rs
@@ -326,7 +326,7 @@
     match serde_json::from_str::<S>(text) {
         Ok(settings) => {
             settings.check(&mut faults);
-            faults.or(settings)
+            faults.into_result(settings)
         }
         Err(error) => {
             let place = format!("line {}, column {}", error.line(), error.column());
--- a/grebedeck/tests/rested.rs
+++ b/grebedeck/tests/rested.rs
@@ -21,7 +21,7 @@
 impl Tired {
     fn refuse<T>(&self) -> Result<T> {
         self.calls.set(self.calls.get() + 1);
-        Err(Error::Resting(REST))
+        Err(Error::RetryAfter(REST))
     }
 }
 
@@ -60,7 +60,7 @@
 
     async_std::task::block_on(async {
         for _ in 0..20 {
-            assert!(matches!(engine.report().await, Err(Error::Resting(_))));
+            assert!(matches!(engine.report().await, Err(Error::RetryAfter(_))));
             assert!(engine.counts().await.is_err() && engine.part().await.is_err());
             assert!(engine.order(&order(RankAction::Hold { pass: 3 })).await.is_err());
             // The same engine by its address.
