--- a/grebedeck-core/src/error.rs
+++ b/grebedeck-core/src/error.rs
@@ -1,4 +1,4 @@
-//! The error type of all crates, with short helpers that build its variants.
+//! The error type shared by all crates, and constructors for its variants.
 
 use std::time::Duration;
 
@@ -7,65 +7,66 @@
 /// Result with the project's error type.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// What can go wrong outside of a request's own outcome.
+/// Error of an internal operation. The result of a caller's request is an
+/// [`Outcome`](crate::Outcome) instead.
 #[derive(Debug, ThisError)]
 pub enum Error {
-    /// A stream or socket failed.
+    /// I/O on a stream, socket or file failed.
     #[error("i/o: {0}")]
     Io(#[from] std::io::Error),
-    /// A peer sent something that is not of the protocol.
+    /// A peer violated the protocol.
     #[error("protocol: {0}")]
     Protocol(String),
-    /// Something did not answer in time.
+    /// An operation did not finish in time.
     #[error("timed out: {0}")]
     TimedOut(&'static str),
-    /// A limit was passed.
+    /// A limit was exceeded.
     #[error("limit: {0}")]
     Limit(String),
-    /// Input was refused; each fault names its field.
+    /// Input was rejected; each fault names its field.
     #[error("{0}")]
     Faults(Faults),
-    /// A peer turned a call away, and wants to be left alone for this time.
-    #[error("wants to be left alone for {0:?}")]
+    /// A peer refused a call and asked for no further calls for this long.
+    #[error("call refused, retry after {0:?}")]
     RetryAfter(Duration),
-    /// The platform could not be reached or gave an error.
+    /// The platform could not be reached or returned an error.
     #[error("platform: {0}")]
     Platform(String),
 }
 
-/// Builds a protocol error.
+/// Returns a protocol error as a result.
 pub fn protocol_error<T>(what: impl Into<String>) -> Result<T> {
     Err(Error::Protocol(what.into()))
 }
 
-/// Builds a time-out error.
+/// Returns a time-out error as a result.
 pub fn timeout_error<T>(what: &'static str) -> Result<T> {
     Err(Error::TimedOut(what))
 }
 
-/// Builds a limit error.
+/// Returns a limit error as a result.
 pub fn limit_error<T>(what: impl Into<String>) -> Result<T> {
     Err(Error::Limit(what.into()))
 }
 
-/// Builds a platform error.
+/// Returns a platform error as a result.
 pub fn platform_error<T>(what: impl Into<String>) -> Result<T> {
     Err(Error::Platform(what.into()))
 }
 
-/// One fault of an input: the field, what it held, and what would be right.
+/// One validation fault of an input.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Fault {
     /// Path of the field, such as `targets.rank-0.hall`.
     pub field: String,
-    /// The value as it was given.
+    /// The rejected value as given.
     pub value: String,
-    /// What would be right.
+    /// Description of a valid value.
     pub expected: String,
 }
 
 impl Fault {
-    /// Makes a fault.
+    /// Creates a fault.
     pub fn new(
         field: impl Into<String>,
         value: impl Into<String>,
@@ -81,7 +82,7 @@
     }
 }
 
-/// All faults of an input, found in one pass.
+/// All validation faults of an input, collected in one pass.
 #[derive(Clone, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Faults(pub Vec<Fault>);
 
@@ -96,7 +97,7 @@
         self.0.push(Fault::new(field, value, expected));
     }
 
-    /// Gives `value` where nothing was found, or else all faults.
+    /// Returns `value` if there are no faults, and the faults otherwise.
     pub fn into_result<T>(self, value: T) -> std::result::Result<T, Faults> {
         if self.0.is_empty() { Ok(value) } else { Err(self) }
     }
--- a/grebedeck-core/src/lib.rs
+++ b/grebedeck-core/src/lib.rs
@@ -1,8 +1,7 @@
-//! Shared vocabulary of grebedeck.
+//! Common types of all grebedeck crates.
 //!
-//! Every other crate builds on this one: identifiers, the outcomes that a caller may see, the
-//! error type with its short helpers, digests, and the clock types that the pure deciders take.
-//! Nothing here does I/O.
+//! Contains identifiers, request outcomes, the error type, digests, and the time and randomness
+//! types that the decision logic takes as arguments. Nothing here does I/O.
 
 #![forbid(unsafe_code)]
 
--- a/grebedeck-core/src/outcome.rs
+++ b/grebedeck-core/src/outcome.rs
@@ -1,27 +1,28 @@
-//! What a caller is told of its request.
+//! Outcomes of requests, as reported to callers.
 //!
-//! `NotRun` and `Refused` are promises: the request was not run and will not be. Whatever cannot
-//! be promised is `Unknown`.
+//! `NotRun` and `Refused` are guarantees that the request has not run and will not run, so a caller
+//! can safely repeat it. Where this cannot be guaranteed, the outcome is `Unknown`.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// Outcome of a request or of one attempt.
+/// Outcome of a request or of a single attempt.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// The target's answer was passed on whole.
+    /// The target's complete response was forwarded.
     Done,
-    /// The request was turned away before it was sent to a target; it was not run.
+    /// The request was refused before it was sent to a target. It has not run.
     Refused(Reason),
-    /// The request reached no target's engine; it was not run, and a late copy will not be.
+    /// The request reached no target's engine. It has not run, and a delayed copy of it will not
+    /// run either.
     NotRun(Reason),
     /// The request may have run.
     Unknown(Reason),
 }
 
 impl Outcome {
-    /// Gets the word that stands in the outcome header.
+    /// Returns the value of the outcome header.
     pub fn as_str(&self) -> &'static str {
         match self {
             Outcome::Done => "done",
@@ -39,40 +40,40 @@
     BadRequest(String),
     /// The organisation is not in the configuration.
     UnknownOrganisation(String),
-    /// No selector lets the organisation use the service.
+    /// No selector allows the organisation to use the service.
     NoCapacity,
-    /// The request's body or headers are over the limit, in bytes.
+    /// The request's body or headers exceed the limit, in bytes.
     TooLarge(u64),
-    /// The organisation or the process is over its share; come back after the wait.
+    /// The organisation or the process exceeds its share; a retry is possible after the wait.
     Overloaded(Duration),
-    /// The target's agent has no free place.
+    /// The target's agent has no free request slot.
     TargetBusy,
-    /// The target or the process is stopping.
+    /// The target or the process is shutting down.
     Draining,
-    /// The deadline passed before the request was started.
+    /// The deadline passed before the request started.
     DeadlinePassed,
-    /// No agent could be reached before anything was sent.
+    /// No agent could be reached, and nothing was sent.
     Unreachable,
-    /// The attempt was struck out at the agent before it started.
+    /// The attempt was cancelled at the agent before it started.
     Struck,
-    /// The agent that was meant has been replaced.
+    /// The addressed agent has been replaced by a newer incarnation.
     StaleIncarnation,
-    /// The same key is being run, or has been run, by an earlier attempt.
+    /// An earlier attempt with the same idempotency key is running or has run.
     DuplicateKey,
-    /// The key may have been used before this agent's memory begins.
+    /// The idempotency key predates this agent's record of used keys and may have been used.
     KeyOlderThanMemory,
     /// The connection was lost after the request was sent.
     ConnectionLost,
-    /// The target's own answer could not be read.
+    /// The target's response could not be read.
     TargetFailed,
     /// The process has no configuration yet.
     NoConfiguration,
-    /// The request crashes targets and is not sent; it may be tried again after the wait.
+    /// The request is quarantined because it crashes targets; a retry is possible after the wait.
     Quarantined(Duration),
 }
 
 impl Reason {
-    /// Gets the HTTP status that goes with the reason.
+    /// Returns the HTTP status code for the reason.
     pub fn status(&self) -> u16 {
         match self {
             Reason::BadRequest(_) => 400,
@@ -86,7 +87,7 @@
         }
     }
 
-    /// Gets how long the caller should wait before it asks again, where asking again may help.
+    /// Returns how long the caller should wait before a retry, or `None` if a retry cannot help.
     pub fn retry_after(&self) -> Option<Duration> {
         match self {
             Reason::Overloaded(wait) | Reason::Quarantined(wait) => Some(*wait),
--- a/grebedeck-core/src/random.rs
+++ b/grebedeck-core/src/random.rs
@@ -1,25 +1,26 @@
-//! Source of randomness that is passed into the deciders.
+//! Source of randomness that is passed into the decision logic.
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// Draws random numbers for a decider.
+/// Random number generator for the decision logic.
 ///
-/// A decider never opens a source of its own, so that a run can be repeated from its seed.
+/// Decision logic never creates a generator of its own, so that a run can be reproduced from its
+/// seed.
 pub trait RandomSource {
-    /// Draws a number below `bound`, or 0 where `bound` is 0.
+    /// Returns a random number below `bound`, or 0 if `bound` is 0.
     fn below(&mut self, bound: usize) -> usize;
 
-    /// Draws a number in `0.0..1.0`.
+    /// Returns a random number in `0.0..1.0`.
     fn unit(&mut self) -> f64;
 }
 
-/// A generator for tests and benches, repeatable from its seed.
+/// Deterministic generator for tests and benchmarks.
 #[derive(Clone, Debug)]
 pub struct SeededSource(ChaCha8Rng);
 
 impl SeededSource {
-    /// Makes a source from a seed.
+    /// Creates a generator from a seed.
     pub fn new(seed: u64) -> Self {
         SeededSource(ChaCha8Rng::seed_from_u64(seed))
     }
--- a/grebedeck-core/src/time.rs
+++ b/grebedeck-core/src/time.rs
@@ -1,17 +1,17 @@
-//! Clock types that pass time into the deciders.
+//! Types that pass time into the decision logic.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Time on a process's monotonic clock, counted from a start that only that process knows.
+/// Time on a process's monotonic clock, since an origin that is specific to the process.
 ///
-/// The deciders take it as an argument, so that a bench can run them in virtual time. It is never
-/// sent to another process.
+/// Decision logic takes it as an argument, so that tests and benchmarks can run in virtual time. It
+/// is never sent to another process, where it would have no meaning.
 pub type Moment = Duration;
 
-/// Wall-clock time in milliseconds since the Unix epoch. Compared only with a margin for skew.
+/// Wall-clock time in milliseconds since the Unix epoch. Comparisons allow a margin for clock skew.
 pub type UnixMs = u64;
 
-/// Gets the wall-clock time in milliseconds since the Unix epoch.
+/// Returns the current wall-clock time.
 pub fn unix_ms() -> UnixMs {
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
 
