--- a/grebedeck-admission/src/fair.rs
+++ b/grebedeck-admission/src/fair.rs
@@ -1,12 +1,12 @@
-//! Fairness among organisations of one urgency: deficit round robin over tokens.
+//! Fair queueing among the organisations of one urgency: deficit round robin over tokens.
 //!
-//! It answers the load of one organisation that sends most requests, or the longest ones: organisations with requests
-//! that wait take turns, and each turn is worth the same number of tokens whatever one request takes. What a turn
-//! leaves over is kept for the next one, so long requests get their part too. An organisation without anything that
-//! waits has no turn, and its part goes to the others.
+//! Keeps an organisation with many or long requests from starving the others. Organisations with
+//! waiting requests take turns, and each turn is worth the same number of tokens per weight. Tokens
+//! that a turn leaves unused are kept for the next one, so long requests are served too. An
+//! organisation without waiting requests has no turn, and the others use its share.
 //!
-//! Within an organisation goes first who can still be in time and must start soonest; those who cannot be in time any
-//! more follow, oldest first.
+//! Within an organisation, requests that can still start in time come first, ordered by their start
+//! deadline. Those that are already late follow, the earliest deadline first.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -14,41 +14,43 @@
 
 use crate::queue::Ticket;
 
-/// Turns' worth of tokens that one request counts as at the most. Requests of the users' sheets take up to five times
-/// the usual tokens; a request that names absurdly many does not keep its organisation out for minutes, nor the
-/// choice busy for long.
+/// Maximum cost of a request, in turns.
+///
+/// Legitimate requests take up to five times the tokens of a typical one. The bound keeps a request
+/// with an absurd token count from blocking its organisation for minutes, and bounds the rounds
+/// that [`FairQueue::next`] takes.
 pub const MAX_TURNS_PER_REQUEST: u64 = 16;
 
-/// A request's place in the order within its organisation.
+/// Sort key of a request within its organisation: its start deadline, then its age.
 type Position = (Moment, Ticket);
-/// Number of a turn; the lowest one is next.
+/// Number of a turn; the lowest is next.
 type Turn = u64;
 
-/// Requests of one organisation.
+/// Waiting requests of one organisation.
 #[derive(Clone, Debug)]
-struct Line {
+struct OrganisationQueue {
     turn: Turn,
     weight: u64,
-    /// Whether its turn has begun, and its tokens for it were given.
+    /// Whether the turn has begun and its tokens have been credited.
     has_begun: bool,
-    /// Tokens that the organisation may take in this turn.
+    /// Tokens that the organisation may still use in this turn.
     deficit_tokens: u64,
-    /// Tokens of each request, by the latest moment at which its start is in time.
+    /// Tokens of each request.
     waiting: BTreeMap<Position, u64>,
 }
 
-/// Requests that wait with one urgency, by organisation.
+/// Waiting requests of one urgency, by organisation.
 #[derive(Clone, Debug, Default)]
 pub struct FairQueue {
-    lines: HashMap<OrganisationName, Line>,
+    organisations: HashMap<OrganisationName, OrganisationQueue>,
     turns: BTreeMap<Turn, OrganisationName>,
-    /// All tickets, by age.
+    /// Tickets of all organisations, oldest first.
     tickets: BTreeSet<Ticket>,
     next_turn: Turn,
 }
 
-impl Line {
-    /// Gets the request that goes first.
+impl OrganisationQueue {
+    /// Returns the next request and its tokens.
     fn first(&self, now: Moment) -> Option<(Ticket, u64)> {
         let in_time = self.waiting.range((now, Ticket::MIN)..).next();
 
@@ -57,33 +59,35 @@
 }
 
 impl FairQueue {
-    /// Gets the number of requests.
+    /// Returns the number of requests.
     pub fn len(&self) -> usize {
         self.tickets.len()
     }
 
-    /// Tells whether nobody waits.
+    /// Returns whether there are no requests.
     pub fn is_empty(&self) -> bool {
         self.tickets.is_empty()
     }
 
-    /// Gets the request that came last.
+    /// Returns the request that arrived last.
     pub fn newest(&self) -> Option<Ticket> {
         self.tickets.last().copied()
     }
 
-    /// Gets how many requests go before the newest one of an organisation that has so many more in front of it: all of
-    /// them at the most, and with more organisations those of as many turns as it needs itself.
+    /// Estimates the number of requests that precede one with `own_ahead` requests of its
+    /// organisation before it: in each turn that the organisation needs, every other organisation
+    /// has one request served. At most the number of all requests.
     pub fn ahead_of(&self, organisation: &str, own_ahead: usize) -> usize {
-        let others = self.lines.len() - usize::from(self.lines.contains_key(organisation));
+        let others =
+            self.organisations.len() - usize::from(self.organisations.contains_key(organisation));
         let in_turns = own_ahead + others * (own_ahead + 1);
 
         in_turns.min(self.len())
     }
 
-    /// Gets the number of requests of an organisation.
+    /// Returns the number of requests of an organisation.
     pub fn len_of(&self, organisation: &str) -> usize {
-        self.lines.get(organisation).map_or(0, |line| line.waiting.len())
+        self.organisations.get(organisation).map_or(0, |queue| queue.waiting.len())
     }
 
     /// Adds a request.
@@ -96,65 +100,73 @@
         tokens: u64,
     ) {
         self.tickets.insert(ticket);
-        let Some(line) = self.lines.get_mut(organisation) else {
-            let turn = self.take_turn(organisation);
+        let Some(queue) = self.organisations.get_mut(organisation) else {
+            let turn = self.schedule_turn(organisation);
             let waiting = BTreeMap::from([((start_by, ticket), tokens)]);
             let weight = weight.max(1);
-            let line = Line { turn, weight, has_begun: false, deficit_tokens: 0, waiting };
-            self.lines.insert(organisation.to_string(), line);
+            let queue =
+                OrganisationQueue { turn, weight, has_begun: false, deficit_tokens: 0, waiting };
+            self.organisations.insert(organisation.to_string(), queue);
             return;
         };
 
-        line.weight = weight.max(1);
-        line.waiting.insert((start_by, ticket), tokens);
+        queue.weight = weight.max(1);
+        queue.waiting.insert((start_by, ticket), tokens);
     }
 
-    /// Removes a request; `spends` tells whether it got a place.
-    pub fn remove(&mut self, ticket: Ticket, organisation: &str, start_by: Moment, spends: bool) {
+    /// Removes a request. Its tokens are deducted if `is_granted`, that is, if it got a place.
+    pub fn remove(
+        &mut self,
+        ticket: Ticket,
+        organisation: &str,
+        start_by: Moment,
+        is_granted: bool,
+    ) {
         self.tickets.remove(&ticket);
-        let Some(line) = self.lines.get_mut(organisation) else {
+        let Some(queue) = self.organisations.get_mut(organisation) else {
             return;
         };
-        let tokens = line.waiting.remove(&(start_by, ticket)).unwrap_or_default();
+        let tokens = queue.waiting.remove(&(start_by, ticket)).unwrap_or_default();
 
-        if spends {
-            line.deficit_tokens = line.deficit_tokens.saturating_sub(tokens);
+        if is_granted {
+            queue.deficit_tokens = queue.deficit_tokens.saturating_sub(tokens);
         }
 
-        if line.waiting.is_empty() {
-            let turn = line.turn;
+        if queue.waiting.is_empty() {
+            let turn = queue.turn;
             self.turns.remove(&turn);
-            self.lines.remove(organisation);
+            self.organisations.remove(organisation);
         }
     }
 
-    /// Gets the request that goes next; a turn is worth so many tokens for each weight. Asking again changes nothing
-    /// as long as nobody comes or goes.
+    /// Selects the next request, with `turn_tokens` per turn and unit of weight.
+    ///
+    /// Idempotent as long as no request is added or removed.
     pub fn next(&mut self, turn_tokens: u64, now: Moment) -> Option<Ticket> {
         let turn_tokens = turn_tokens.max(1);
 
         loop {
             let organisation = self.turns.first_key_value()?.1.clone();
-            let line = self.lines.get_mut(&organisation)?;
-            let (ticket, tokens) = line.first(now)?;
-            let counted = tokens.clamp(1, turn_tokens * MAX_TURNS_PER_REQUEST);
+            let queue = self.organisations.get_mut(&organisation)?;
+            let (ticket, tokens) = queue.first(now)?;
+            let cost_tokens = tokens.clamp(1, turn_tokens * MAX_TURNS_PER_REQUEST);
 
-            if !std::mem::replace(&mut line.has_begun, true) {
-                line.deficit_tokens += turn_tokens * line.weight;
+            if !std::mem::replace(&mut queue.has_begun, true) {
+                queue.deficit_tokens += turn_tokens * queue.weight;
             }
 
-            if line.deficit_tokens >= counted {
+            if queue.deficit_tokens >= cost_tokens {
                 return Some(ticket);
             }
 
-            line.has_begun = false;
+            queue.has_begun = false;
             self.turns.pop_first();
-            let turn = self.take_turn(&organisation);
-            self.lines.get_mut(&organisation)?.turn = turn;
+            let turn = self.schedule_turn(&organisation);
+            self.organisations.get_mut(&organisation)?.turn = turn;
         }
     }
 
-    fn take_turn(&mut self, organisation: &str) -> Turn {
+    fn schedule_turn(&mut self, organisation: &str) -> Turn {
         let turn = self.next_turn;
         self.next_turn += 1;
         self.turns.insert(turn, organisation.to_string());
--- a/grebedeck-admission/src/flow.rs
+++ b/grebedeck-admission/src/flow.rs
@@ -1,8 +1,7 @@
-//! How fast places are given while requests wait for them.
+//! Rate at which places are granted to waiting requests.
 //!
-//! It answers a load beyond the room: from the rate follows how long those at the end of a queue would wait. Only time in
-//! which somebody waited counts, as places that were given when there was room tell how many asked, and not how much
-//! room there is.
+//! The queue estimates waiting times from this rate under overload. Only time during which requests
+//! waited counts: without a backlog, the grants reflect the demand and not the capacity.
 
 use std::collections::BTreeMap;
 use std::ops::Bound;
@@ -12,70 +11,74 @@
 
 use crate::queue::Urgency;
 
-/// Time after which what was seen is worth a third: the room of a model's group changes within seconds.
-const MEMORY: Duration = Duration::from_secs(2);
-/// Time with somebody waiting before a rate is told: some passes of a group, in each of which places become free.
-const LEAST_SEEN: Duration = Duration::from_millis(200);
-/// Places given before a rate is told: of a service whose requests take seconds nothing follows from some moments.
-const LEAST_GIVEN: f64 = 3.0;
-
-/// Places given, by urgency, and the time in which somebody waited for them.
+/// Time constant of the exponential decay, after which a count is worth about a third. The capacity
+/// of a model's rank group changes within seconds.
+const DECAY_TIME: Duration = Duration::from_secs(2);
+/// Backlogged time required for an estimate: several forward passes of a rank group, each of which
+/// frees places.
+const MIN_BACKLOGGED: Duration = Duration::from_millis(200);
+/// Grants required for an estimate: where requests take seconds, a short observation is not
+/// conclusive.
+const MIN_GRANTS: f64 = 3.0;
+
+/// Decayed counts of granted places by urgency, and of the time with a backlog.
 #[derive(Clone, Debug, Default)]
 pub struct GrantRate {
-    given: BTreeMap<Urgency, f64>,
-    waited_s: f64,
-    at: Moment,
+    grants: BTreeMap<Urgency, f64>,
+    backlogged_s: f64,
+    updated_at: Moment,
 }
 
 impl GrantRate {
-    /// Notes the time that has passed; `is_waited_for` tells whether somebody has waited since the last call.
-    pub fn advance(&mut self, is_waited_for: bool, now: Moment) {
-        let passed_s = now.saturating_sub(self.at).as_secs_f64();
-        self.at = self.at.max(now);
-        let factor = (-passed_s / MEMORY.as_secs_f64()).exp();
-        self.waited_s *= factor;
-
-        if is_waited_for {
-            self.waited_s += MEMORY.as_secs_f64() * (1.0 - factor);
+    /// Advances the time; `has_waiting` tells whether requests have waited since the last call.
+    pub fn advance(&mut self, has_waiting: bool, now: Moment) {
+        let passed_s = now.saturating_sub(self.updated_at).as_secs_f64();
+        self.updated_at = self.updated_at.max(now);
+        let factor = (-passed_s / DECAY_TIME.as_secs_f64()).exp();
+        self.backlogged_s *= factor;
+
+        if has_waiting {
+            self.backlogged_s += DECAY_TIME.as_secs_f64() * (1.0 - factor);
         }
 
-        for given in self.given.values_mut() {
-            *given *= factor;
+        for grants in self.grants.values_mut() {
+            *grants *= factor;
         }
 
-        self.given.retain(|_, given| *given > 1e-3);
+        self.grants.retain(|_, grants| *grants > 1e-3);
     }
 
-    /// Notes that a place was given to a request that had waited.
+    /// Records a place granted to a request that had waited.
     pub fn record_grant(&mut self, urgency: Urgency) {
-        *self.given.entry(urgency).or_default() += 1.0;
+        *self.grants.entry(urgency).or_default() += 1.0;
     }
 
-    /// Gets the places that are given in a second, where that was seen lately.
+    /// Returns the recent grant rate; `None` if there are too few observations.
     pub fn grants_per_s(&self) -> Option<f64> {
-        self.per_second(self.all())
+        self.per_second(self.total())
     }
 
-    /// Gets the places that are given to an urgency in a second, where that was seen lately.
+    /// Returns the recent grant rate of an urgency; `None` if there are too few observations.
     pub fn grants_per_s_of(&self, urgency: Urgency) -> Option<f64> {
-        self.per_second(self.given.get(&urgency).copied().unwrap_or_default())
+        self.per_second(self.grants.get(&urgency).copied().unwrap_or_default())
     }
 
-    /// Gets the part of the places that lately went to those less urgent than `urgency`.
+    /// Returns the fraction of recent grants that went to requests less urgent than `urgency`.
     pub fn fraction_behind(&self, urgency: Urgency) -> f64 {
         let behind = (Bound::Excluded(urgency), Bound::Unbounded);
-        let given: f64 = self.given.range(behind).map(|(_, given)| given).sum();
+        let grants: f64 = self.grants.range(behind).map(|(_, grants)| grants).sum();
 
-        given / self.all().max(f64::MIN_POSITIVE)
+        grants / self.total().max(f64::MIN_POSITIVE)
     }
 
-    fn per_second(&self, given: f64) -> Option<f64> {
-        let is_known = self.waited_s >= LEAST_SEEN.as_secs_f64() && self.all() >= LEAST_GIVEN;
+    fn per_second(&self, grants: f64) -> Option<f64> {
+        let is_known =
+            self.backlogged_s >= MIN_BACKLOGGED.as_secs_f64() && self.total() >= MIN_GRANTS;
 
-        is_known.then(|| given / self.waited_s)
+        is_known.then(|| grants / self.backlogged_s)
     }
 
-    fn all(&self) -> f64 {
-        self.given.values().sum()
+    fn total(&self) -> f64 {
+        self.grants.values().sum()
     }
 }
--- a/grebedeck-admission/src/lib.rs
+++ b/grebedeck-admission/src/lib.rs
@@ -1,10 +1,15 @@
-//! Who gets the next place on a service's targets, and who is told to come back, and when.
+//! Admission control for the requests of one gateway: which waiting request gets the next place on
+//! a service's targets, and when a refused caller should retry.
 //!
-//! Each gateway decides for the requests that wait there. [`queue`] holds them in their order: by urgency, with a
-//! share for the less urgent ones from [`share`]; fair among organisations by [`fair`]; within an organisation by who
-//! can still be in time first. [`flow`] follows how fast places are given, from which follows who waits for nothing;
-//! [`returns`] spreads those who are refused over the room to come. All of it is pure: time and randomness are passed
-//! in, and what it holds may be lost with the process, as callers come back.
+//! A place is the right to run one request on a target. Each gateway decides for its own callers.
+//! [`queue`] orders the waiting requests by urgency, with a guaranteed [`share`] for the less
+//! urgent ones; within an urgency, [`fair`] alternates between organisations; within an
+//! organisation, the earliest start deadline that can still be met comes first. [`flow`] measures
+//! the rate at which places are granted, from which the queue estimates waiting times. [`returns`]
+//! spreads the retries of refused callers over the expected capacity.
+//!
+//! The logic does no I/O: time and randomness are passed in. Its state may be lost with the
+//! process, since callers retry.
 
 #![forbid(unsafe_code)]
 
--- a/grebedeck-admission/src/queue.rs
+++ b/grebedeck-admission/src/queue.rs
@@ -1,13 +1,13 @@
-//! The order of those who wait for a place on one service's targets.
+//! Queue of the requests that wait for a place on one service's targets.
 //!
-//! It answers the load beyond the room: before, those who waited listened to one event, and whoever woke first took the
-//! place, whatever was asked and by whom. Streams that go on after their target was lost come first of all, as their
-//! callers have part of the answer. Then the most urgent go first, except for an urgency that is below its
-//! [share](crate::share); within an urgency organisations [take turns](crate::fair).
+//! Under overload the queue decides which request gets the next free place. Streams that resume
+//! after the loss of their target come first, as their callers already have part of the response.
+//! The other requests are ordered by urgency, except that an urgency below its
+//! [share](crate::share) comes first. Within an urgency, organisations [take turns](crate::fair).
 //!
-//! Where a service is asked with one urgency only, the order is that of arrival.
+//! A service with a single urgency serves requests in the order of arrival.
 //!
-//! Whoever waits, leaves or gets a place is found in logarithmic time.
+//! Adding, removing and selecting a request take logarithmic time.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::ops::Bound;
@@ -19,36 +19,41 @@
 use crate::flow::GrantRate;
 use crate::share::{MIN_SHARE, Shares};
 
-/// Names one that waits.
+/// Id of a waiting request, in the order of arrival.
 pub type Ticket = u64;
-/// Rank of a request: its key's, or its route's where the key has none, and within that its route's; 0 is the most
-/// urgent. Where all keys have the same rank, routes differ nonetheless.
+/// Urgency of a request; 0 is the most urgent.
+///
+/// The first number is the rank of the API key, or of the route if the key has none. The second is
+/// the rank of the route, which decides between requests whose first rank is equal.
 pub type Urgency = (u8, u8);
 
-/// Most that wait in one queue: more than a gateway takes callers, each with one request. With some 300 bytes each
-/// they take little beside the bodies of their requests, which have a limit of their own.
+/// Maximum number of requests in a queue.
+///
+/// Exceeds the number of callers that a gateway accepts, each of which has one request. An entry
+/// takes about 300 bytes, little compared with the request's body, which has its own limit.
 pub const MAX_WAITING: usize = 4096;
-/// Longest wait that is told; nobody waits for so long.
-const MAX_EXPECTED: Duration = Duration::from_secs(60);
+/// Upper bound of the estimated wait, longer than any request waits.
+const MAX_EXPECTED_WAIT: Duration = Duration::from_secs(60);
 
-/// In which order places are given.
+/// Order in which places are granted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Order {
-    /// First come, first served.
+    /// First in, first out.
     #[default]
     Arrival,
-    /// By urgency, then fair among organisations.
+    /// By urgency, then fairly among organisations.
     Urgency,
 }
 
 /// Settings of a queue.
 #[derive(Clone, Copy, Debug)]
 pub struct QueueOptions {
-    /// In which order places are given.
+    /// Order in which places are granted.
     pub order: Order,
-    /// Tokens that an organisation's turn is worth: those of a usual request, so that a turn serves one or some.
+    /// Tokens per turn of an organisation: those of a typical request, so that a turn serves one or
+    /// a few requests.
     pub turn_tokens: u64,
-    /// Most that wait.
+    /// Maximum number of waiting requests.
     pub max_waiting: usize,
 }
 
@@ -58,30 +63,30 @@
     }
 }
 
-/// What decides on the place of one that waits.
+/// Scheduling attributes of a waiting request.
 #[derive(Clone, Debug)]
 pub struct Waiter {
-    /// Its urgency.
+    /// Urgency of the request.
     pub urgency: Urgency,
-    /// Its organisation; empty where it has none.
+    /// Organisation of the caller; empty if there is none.
     pub organisation: OrganisationName,
-    /// Weight of its organisation.
+    /// Weight of the organisation in the fair share.
     pub weight: u64,
-    /// Tokens to be read and made for it.
+    /// Prompt and output tokens of the request.
     pub tokens: u64,
-    /// Latest moment at which a start is still in time.
+    /// Latest start that meets the request's latency objective.
     pub start_by: Moment,
-    /// When it is given up.
+    /// Time at which the request is refused if it still waits.
     pub expires_at: Moment,
-    /// Whether it is a stream that has begun at another target.
+    /// Whether the request resumes a stream that began on another target.
     pub is_resumed: bool,
 }
 
-/// Those that go before all others of a later class.
+/// Priority class. Requests of a class precede all requests of later classes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Class {
     Resumed,
-    Asked(Urgency),
+    Regular(Urgency),
 }
 
 #[derive(Debug)]
@@ -90,7 +95,7 @@
     item: T,
 }
 
-/// Those who wait for one service.
+/// Requests that wait for a place on one service's targets.
 #[derive(Debug)]
 pub struct Queue<T> {
     options: QueueOptions,
@@ -103,7 +108,7 @@
 }
 
 impl<T> Queue<T> {
-    /// Makes an empty queue.
+    /// Creates an empty queue.
     pub fn new(options: QueueOptions) -> Self {
         Queue {
             options,
@@ -116,22 +121,22 @@
         }
     }
 
-    /// Gets the number of those who wait.
+    /// Returns the number of waiting requests.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Tells whether nobody waits.
+    /// Returns whether no request waits.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Gets the order.
+    /// Returns the order in which places are granted.
     pub fn order(&self) -> Order {
         self.options.order
     }
 
-    /// Puts other settings in force; those who wait are put in order anew where the order changes.
+    /// Applies new settings. Reorders the waiting requests if the order changes.
     pub fn set_options(&mut self, options: QueueOptions) {
         let is_reordered = self.options.order != options.order;
         self.options = options;
@@ -145,11 +150,11 @@
         tickets.sort_unstable();
 
         for ticket in tickets {
-            self.line_up(ticket);
+            self.enqueue(ticket);
         }
     }
 
-    /// Gets the number of those who wait with each urgency; streams that go on are among theirs.
+    /// Returns the number of waiting requests by urgency, resumed streams included.
     pub fn waiting_by_urgency(&self) -> BTreeMap<Urgency, usize> {
         let mut waiting = BTreeMap::new();
 
@@ -160,7 +165,7 @@
         waiting
     }
 
-    /// Adds one that waits; where the queue is full, gives it back.
+    /// Adds a request. Returns the item as an error if the queue is full.
     pub fn push(&mut self, waiter: Waiter, item: T, now: Moment) -> Result<Ticket, T> {
         if self.entries.len() >= self.options.max_waiting {
             return Err(item);
@@ -172,55 +177,55 @@
         self.next_ticket += 1;
         self.by_expiry.insert((waiter.expires_at, ticket));
         self.entries.insert(ticket, Entry { waiter, item });
-        self.line_up(ticket);
+        self.enqueue(ticket);
 
         Ok(ticket)
     }
 
-    /// Notes a request that got a place without waiting.
+    /// Records a request that got a place without waiting.
     pub fn record_immediate(&mut self, urgency: Urgency, now: Moment) {
         self.shares.record_arrival(urgency, now);
         self.shares.record_served(urgency, now);
     }
 
-    /// Notes a request that was refused without waiting.
+    /// Records a request that was refused without waiting.
     pub fn record_refused(&mut self, urgency: Urgency, now: Moment) {
         self.shares.record_arrival(urgency, now);
     }
 
-    /// Gets who goes next.
+    /// Returns the request that gets the next place.
     pub fn peek(&mut self, now: Moment) -> Option<(Ticket, &T)> {
         let ticket = self.next(now)?;
 
         self.entries.get(&ticket).map(|entry| (ticket, &entry.item))
     }
 
-    /// Takes out who goes next, for a place.
+    /// Removes the request that gets the next place, and records the grant.
     pub fn pop(&mut self, now: Moment) -> Option<(Waiter, T)> {
         let ticket = self.next(now)?;
         self.advance(now);
-        let entry = self.take(ticket, true)?;
+        let entry = self.take_entry(ticket, true)?;
         self.shares.record_served(entry.waiter.urgency, now);
         self.flow.record_grant(entry.waiter.urgency);
 
         Some((entry.waiter, entry.item))
     }
 
-    /// Takes out one that leaves or is given up.
+    /// Removes a request that gets no place.
     pub fn remove(&mut self, ticket: Ticket, now: Moment) -> Option<(Waiter, T)> {
         self.advance(now);
 
-        self.take(ticket, false).map(|entry| (entry.waiter, entry.item))
+        self.take_entry(ticket, false).map(|entry| (entry.waiter, entry.item))
     }
 
-    /// Gets those who are to be given up by now.
+    /// Returns the requests that have expired.
     pub fn expired_tickets(&self, now: Moment) -> Vec<Ticket> {
         let due = self.by_expiry.iter().take_while(|(expires_at, _)| *expires_at <= now);
 
         due.map(|(_, ticket)| *ticket).collect()
     }
 
-    /// Takes out those who are to be given up by now.
+    /// Removes the requests that have expired.
     pub fn remove_expired(&mut self, now: Moment) -> Vec<(Ticket, Waiter, T)> {
         let due = self.expired_tickets(now);
         let take = |ticket: Ticket| self.remove(ticket, now).map(|(w, item)| (ticket, w, item));
@@ -228,22 +233,22 @@
         due.into_iter().filter_map(take).collect()
     }
 
-    /// Gets when the next one is to be given up.
+    /// Returns the earliest expiry of a waiting request.
     pub fn next_expiry(&self) -> Option<Moment> {
         self.by_expiry.first().map(|(expires_at, _)| *expires_at)
     }
 
-    /// Gets one that waits, and what decides on its place.
+    /// Returns a waiting request with its scheduling attributes.
     pub fn get(&self, ticket: Ticket) -> Option<(&Waiter, &T)> {
         self.entries.get(&ticket).map(|entry| (&entry.waiter, &entry.item))
     }
 
-    /// Gets all that wait, in no order.
+    /// Returns all waiting requests, unordered.
     pub fn tickets(&self) -> Vec<Ticket> {
         self.entries.keys().copied().collect()
     }
 
-    /// Sets when one that waits is given up.
+    /// Changes the expiry of a waiting request.
     pub fn set_expiry(&mut self, ticket: Ticket, expires_at: Moment) {
         if let Some(entry) = self.entries.get_mut(&ticket) {
             self.by_expiry.remove(&(entry.waiter.expires_at, ticket));
@@ -252,7 +257,7 @@
         }
     }
 
-    /// Gets the number of those who would go before one that comes now, as far as it can be known.
+    /// Estimates the number of requests that would precede a request added now.
     pub fn ahead_of(&self, waiter: &Waiter) -> usize {
         let (class, organisation, _) = self.position(waiter);
         let before: usize = self.classes.range(..class).map(|(_, fair)| fair.len()).sum();
@@ -264,8 +269,10 @@
         before + beside
     }
 
-    /// Gets how long one that comes now would wait, where that can be known. The first one of its urgency is always let
-    /// in, so that its share finds somebody.
+    /// Estimates the wait of a request added now; `None` if the grant rate is unknown.
+    ///
+    /// Zero for the first request of an urgency: it is always admitted, so that the share of its
+    /// urgency has a request to serve.
     pub fn expected_wait(&self, waiter: &Waiter) -> Option<Duration> {
         let (class, organisation, _) = self.position(waiter);
         let beside = self
@@ -276,14 +283,14 @@
         self.wait_behind(class, waiter.urgency, beside)
     }
 
-    /// Gets the newest of those who are less urgent than `urgency` and can't be in time behind all who go first,
-    /// and how long it would wait.
+    /// Finds the newest request less urgent than `urgency` that is expected to start too late,
+    /// given the requests ahead of it, and returns it with its expected wait.
     pub fn newest_too_late(&self, urgency: Urgency, now: Moment) -> Option<(Ticket, Duration)> {
         if self.options.order == Order::Arrival {
             return None;
         }
 
-        let behind = (Bound::Excluded(Class::Asked(urgency)), Bound::Unbounded);
+        let behind = (Bound::Excluded(Class::Regular(urgency)), Bound::Unbounded);
         let less_urgent = self.classes.range(behind);
 
         less_urgent.rev().find_map(|(class, fair)| {
@@ -297,34 +304,35 @@
         })
     }
 
-    /// Gets the newest of those who are less urgent than `urgency`, where the queue is full.
+    /// Returns the newest request of the least urgent class if the queue is full and the class is
+    /// less urgent than `urgency`.
     pub fn eviction_candidate(&self, urgency: Urgency) -> Option<Ticket> {
         let is_full = self.entries.len() >= self.options.max_waiting;
         let (class, fair) = self.classes.last_key_value().filter(|_| is_full)?;
 
-        (*class > Class::Asked(urgency)).then(|| fair.newest())?
+        (*class > Class::Regular(urgency)).then(|| fair.newest())?
     }
 
-    /// Gets the places that are given in a second to those who wait, where that was seen lately.
+    /// Returns the recent rate of places granted to waiting requests; `None` if unknown.
     pub fn grants_per_s(&self) -> Option<f64> {
         self.flow.grants_per_s()
     }
 
-    /// Gets how long one waits with so many beside it in its class.
+    /// Estimates the wait behind `beside` requests of the same class and all earlier classes.
     fn wait_behind(&self, class: Class, urgency: Urgency, beside: usize) -> Option<Duration> {
         if beside == 0 {
             return Some(Duration::ZERO);
         }
 
         let before: usize = self.classes.range(..class).map(|(_, fair)| fair.len()).sum();
-        // The less urgent take their share of the places meanwhile, where some of them wait.
+        // Less urgent requests, if any wait, take their share of the places in the meantime.
         let has_behind = self.classes.last_key_value().is_some_and(|(last, _)| *last > class);
-        let part_behind = self.flow.fraction_behind(urgency).min(MIN_SHARE);
-        let part = if has_behind { 1.0 - part_behind } else { 1.0 };
-        let in_order_s = (before + beside) as f64 / (self.flow.grants_per_s()? * part);
-        // What its urgency gets may be more than what the others leave over.
+        let fraction_behind = self.flow.fraction_behind(urgency).min(MIN_SHARE);
+        let fraction = if has_behind { 1.0 - fraction_behind } else { 1.0 };
+        let in_order_s = (before + beside) as f64 / (self.flow.grants_per_s()? * fraction);
+        // The urgency's own share may exceed what the more urgent requests leave.
         let in_share_s = beside as f64 / self.flow.grants_per_s_of(urgency)?;
-        let wait_s = in_order_s.min(in_share_s).min(MAX_EXPECTED.as_secs_f64());
+        let wait_s = in_order_s.min(in_share_s).min(MAX_EXPECTED_WAIT.as_secs_f64());
 
         Some(Duration::from_secs_f64(wait_s))
     }
@@ -344,32 +352,35 @@
         }
 
         let mut next = first;
-        let mut most = 0.0;
+        let mut max_shortfall = 0.0;
 
         for class in self.classes.keys() {
-            let Class::Asked(urgency) = *class else { continue };
+            let Class::Regular(urgency) = *class else { continue };
             let shortfall = self.shares.shortfall(urgency);
 
-            if shortfall > most {
-                (next, most) = (*class, shortfall);
+            if shortfall > max_shortfall {
+                (next, max_shortfall) = (*class, shortfall);
             }
         }
 
         Some(next)
     }
 
-    /// Gets the class of one that waits, its organisation and its place there, by the order in force.
+    /// Returns the class, the organisation and the sort key within the organisation, according to
+    /// the configured order.
     fn position<'a>(&self, waiter: &'a Waiter) -> (Class, &'a str, Moment) {
         let by_arrival = self.options.order == Order::Arrival;
 
         match (waiter.is_resumed, by_arrival) {
             (true, _) => (Class::Resumed, "", Moment::ZERO),
-            (false, true) => (Class::Asked((0, 0)), "", Moment::ZERO),
-            (false, false) => (Class::Asked(waiter.urgency), &waiter.organisation, waiter.start_by),
+            (false, true) => (Class::Regular((0, 0)), "", Moment::ZERO),
+            (false, false) => {
+                (Class::Regular(waiter.urgency), &waiter.organisation, waiter.start_by)
+            }
         }
     }
 
-    fn line_up(&mut self, ticket: Ticket) {
+    fn enqueue(&mut self, ticket: Ticket) {
         let Some(entry) = self.entries.get(&ticket) else { return };
         let (class, organisation, start_by) = self.position(&entry.waiter);
         let (weight, tokens) = (entry.waiter.weight, entry.waiter.tokens);
@@ -377,13 +388,13 @@
         fair.add(ticket, organisation, weight, start_by, tokens);
     }
 
-    fn take(&mut self, ticket: Ticket, spends: bool) -> Option<Entry<T>> {
+    fn take_entry(&mut self, ticket: Ticket, is_granted: bool) -> Option<Entry<T>> {
         let entry = self.entries.remove(&ticket)?;
         self.by_expiry.remove(&(entry.waiter.expires_at, ticket));
         let (class, organisation, start_by) = self.position(&entry.waiter);
 
         if let Some(fair) = self.classes.get_mut(&class) {
-            fair.remove(ticket, organisation, start_by, spends);
+            fair.remove(ticket, organisation, start_by, is_granted);
 
             if fair.is_empty() {
                 self.classes.remove(&class);
--- a/grebedeck-admission/src/returns.rs
+++ b/grebedeck-admission/src/returns.rs
@@ -1,11 +1,12 @@
-//! When those who are refused are told to come back.
+//! Retry times for refused callers.
 //!
-//! It answers callers that come back together and find the targets full again: each gets a slot of the room to come,
-//! one after another at the rate at which places are given, the more urgent first. A slot holds nothing back: whoever
-//! comes without one, or never comes back, changes nothing, and the schedule may be lost.
+//! Keeps callers that are refused together from retrying together and finding the targets full
+//! again. Each caller is given a slot of the expected capacity, one after another at the rate at
+//! which places are granted, the more urgent first. A slot reserves nothing: a caller that retries
+//! without one or never retries has no effect, and the slots may be lost.
 //!
-//! A caller that comes back is not known as such. By its organisation and prompt it would be, but it comes to another
-//! gateway mostly, and nothing that it carries says more.
+//! A retry is not recognised as such. Organisation and prompt would identify it, but it mostly
+//! arrives at another gateway, and the request carries nothing else that would.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,52 +15,52 @@
 
 use crate::queue::Urgency;
 
-/// Part of the time that is left to a caller beyond which it does not wait for a second try: what remains has to do
-/// for the wait there and the answer.
-pub const LONGEST_PART: f64 = 1.0 / 3.0;
-/// Part of that over which those are spread for whom no slot is left.
-const SPREAD: f64 = 0.5;
+/// Maximum retry delay, as a fraction of the caller's remaining time. The rest is needed for the
+/// wait after the retry and for the response.
+pub const MAX_DELAY_FRACTION: f64 = 1.0 / 3.0;
+/// Fraction of the maximum delay over which callers without a slot are spread.
+const SPREAD_FRACTION: f64 = 0.5;
 
-/// The room to come.
+/// Expected capacity for retries.
 #[derive(Clone, Copy, Debug)]
 pub struct ExpectedCapacity {
-    /// Time until the next place for one that is refused.
+    /// Time until the first place for a refused caller.
     pub first_place_in: Duration,
-    /// Places that are given in a second.
+    /// Places granted per second.
     pub rate_per_s: f64,
-    /// Time that is left to the caller.
+    /// Remaining time of the caller.
     pub time_left: Duration,
 }
 
-/// Slots that were told, by urgency.
+/// Retry slots already assigned, by urgency.
 #[derive(Clone, Debug, Default)]
 pub struct RetrySlots {
-    free_from: BTreeMap<Urgency, Moment>,
+    next_slot_at: BTreeMap<Urgency, Moment>,
 }
 
 impl RetrySlots {
-    /// Gets how long a caller should wait before it asks again, and takes its slot.
+    /// Assigns a slot to a caller and returns the delay after which it should retry.
     pub fn retry_after(
         &mut self,
         urgency: Urgency,
-        schedule: ExpectedCapacity,
+        expected: ExpectedCapacity,
         now: Moment,
         random: &mut impl RandomSource,
     ) -> Duration {
-        self.free_from.retain(|_, from| *from > now);
-        let taken = self.free_from.range(..=urgency).map(|(_, from)| *from).max();
-        let from = taken.unwrap_or_default().max(now + schedule.first_place_in);
+        self.next_slot_at.retain(|_, from| *from > now);
+        let taken = self.next_slot_at.range(..=urgency).map(|(_, from)| *from).max();
+        let from = taken.unwrap_or_default().max(now + expected.first_place_in);
         let slot =
-            Duration::from_secs_f64(1.0 / schedule.rate_per_s.max(f64::MIN_POSITIVE).max(1e-3));
+            Duration::from_secs_f64(1.0 / expected.rate_per_s.max(f64::MIN_POSITIVE).max(1e-3));
         let wait = (from - now) + slot.mul_f64(random.unit());
-        let longest = schedule.time_left.mul_f64(LONGEST_PART);
+        let max_wait = expected.time_left.mul_f64(MAX_DELAY_FRACTION);
 
-        if wait > longest {
-            // Who is told to wait for longer gives up, or comes when it likes.
-            return longest.mul_f64(1.0 - SPREAD * random.unit());
+        if wait > max_wait {
+            // With a longer delay, callers give up or retry at a time of their own.
+            return max_wait.mul_f64(1.0 - SPREAD_FRACTION * random.unit());
         }
 
-        self.free_from.insert(urgency, from + slot);
+        self.next_slot_at.insert(urgency, from + slot);
 
         wait
     }
--- a/grebedeck-admission/src/share.rs
+++ b/grebedeck-admission/src/share.rs
@@ -1,8 +1,9 @@
-//! The share of the less urgent requests.
+//! Guaranteed share of the less urgent requests.
 //!
-//! It answers a load that stays beyond the room: strict order by urgency would serve the least urgent never. What is
-//! asked and what is served is counted for each urgency, with older counts worth less, and an urgency that is served
-//! less than [`MIN_SHARE`] as often as all goes first until it is not.
+//! Under sustained overload, a strict order by urgency would starve the least urgent requests. The
+//! arrivals and grants of each urgency are counted with exponential decay. An urgency whose served
+//! fraction falls below [`MIN_SHARE`] times that of all requests comes first until it has caught
+//! up.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,82 +12,87 @@
 
 use crate::queue::Urgency;
 
-/// How often each urgency is served at the least, as a part of how often all are. The operators call a kind starved
-/// below 0.25, and each kind has to earn 0.3 to 0.5 of its worth, nearly all of which is for answers in time: with room
-/// for two thirds of what is asked half as often is a third, and with room for all but a few it leaves nobody out. A
-/// greater share would be taken from callers who asked to go first.
+/// Minimum served fraction of an urgency, relative to the served fraction of all requests.
+///
+/// Operators consider a kind of request starved below a served fraction of 0.25, and each kind has
+/// to earn 0.3 to 0.5 of its value, nearly all of which is for responses in time. With capacity for
+/// two thirds of the load, this share serves a third of an urgency's requests; with capacity for
+/// nearly all, it excludes no urgency. A larger share would be at the expense of more urgent
+/// requests.
 pub const MIN_SHARE: f64 = 0.5;
-/// Time after which a count is worth a third of a new one: some times as long as the longest wait, so that bursts of
-/// a second do not count as starving, and short beside the minutes after which callers complain.
-pub const MEMORY: Duration = Duration::from_secs(5);
-/// Requests of an urgency below which nothing follows from its counts.
-const FEW: f64 = 2.0;
+/// Time constant of the exponential decay, after which a count is worth about a third.
+///
+/// Several times the longest wait, so that a burst of a second does not count as starvation, and
+/// short compared with the minutes after which callers complain.
+pub const DECAY_TIME: Duration = Duration::from_secs(5);
+/// Minimum (decayed) number of requests for a conclusion about an urgency.
+const MIN_REQUESTS: f64 = 2.0;
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Count {
-    asked: f64,
+    requested: f64,
     served: f64,
 }
 
 impl Count {
-    fn served_part(self) -> f64 {
-        self.served / self.asked.max(f64::MIN_POSITIVE)
+    fn served_fraction(self) -> f64 {
+        self.served / self.requested.max(f64::MIN_POSITIVE)
     }
 }
 
-/// What was asked and served lately, by urgency.
+/// Recent arrivals and grants, by urgency.
 #[derive(Clone, Debug, Default)]
 pub struct Shares {
     counts: BTreeMap<Urgency, Count>,
-    at: Moment,
+    updated_at: Moment,
 }
 
 impl Shares {
-    /// Notes a request.
+    /// Records the arrival of a request.
     pub fn record_arrival(&mut self, urgency: Urgency, now: Moment) {
-        self.fade(now);
-        self.counts.entry(urgency).or_default().asked += 1.0;
+        self.decay(now);
+        self.counts.entry(urgency).or_default().requested += 1.0;
     }
 
-    /// Notes that a request got its place.
+    /// Records that a request got a place.
     pub fn record_served(&mut self, urgency: Urgency, now: Moment) {
-        self.fade(now);
+        self.decay(now);
         self.counts.entry(urgency).or_default().served += 1.0;
     }
 
-    /// Gets how far an urgency is below its share; 0 where it is not.
+    /// Returns how far the served fraction of an urgency is below its share, or 0 if it is not.
     pub fn shortfall(&self, urgency: Urgency) -> f64 {
         let count = self.counts.get(&urgency).copied().unwrap_or_default();
 
-        if count.asked < FEW {
+        if count.requested < MIN_REQUESTS {
             return 0.0;
         }
 
-        let least = MIN_SHARE * self.total().served_part();
+        let min_fraction = MIN_SHARE * self.total().served_fraction();
 
-        (least - count.served_part()).max(0.0)
+        (min_fraction - count.served_fraction()).max(0.0)
     }
 
     fn total(&self) -> Count {
         let add = |sum: Count, count: &Count| Count {
-            asked: sum.asked + count.asked,
+            requested: sum.requested + count.requested,
             served: sum.served + count.served,
         };
 
         self.counts.values().fold(Count::default(), add)
     }
 
-    fn fade(&mut self, now: Moment) {
-        let passed = now.saturating_sub(self.at);
-        self.at = self.at.max(now);
-        let factor = (-passed.as_secs_f64() / MEMORY.as_secs_f64()).exp();
+    fn decay(&mut self, now: Moment) {
+        let passed = now.saturating_sub(self.updated_at);
+        self.updated_at = self.updated_at.max(now);
+        let factor = (-passed.as_secs_f64() / DECAY_TIME.as_secs_f64()).exp();
 
         for count in self.counts.values_mut() {
-            count.asked *= factor;
+            count.requested *= factor;
             count.served *= factor;
         }
 
-        // What nobody has asked for in a while takes no memory.
-        self.counts.retain(|_, count| count.asked > 1e-3);
+        // Removes urgencies without recent requests.
+        self.counts.retain(|_, count| count.requested > 1e-3);
     }
 }
