--- a/grebedeck-admission/tests/load.rs
+++ b/grebedeck-admission/tests/load.rs
@@ -1,8 +1,8 @@
-//! Played loads beyond the room, without a network: who is served in time.
+//! Simulated overload, without a network: which requests are served in time.
 //!
-//! Targets have so many places, and each request takes one for a while. Callers leave the queue when they can't be in
-//! time any more, and come back once after a refusal. The same load is played with the order of arrival, so that each
-//! claim is a comparison.
+//! The targets have a fixed number of places, and each request occupies one for a random time.
+//! Requests leave the queue when they can no longer start in time, and are retried once after a
+//! refusal. Where a test compares orders, the same load is run with the order of arrival.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -16,43 +16,43 @@
 
 const MS: fn(u64) -> Duration = Duration::from_millis;
 const PLACES: usize = 100;
-/// Mean time that a request takes a place.
+/// Mean service time of a request.
 const MEAN_MS: f64 = 400.0;
-/// Requests that end in a second with all places taken.
+/// Requests that complete per second with all places occupied.
 const CAPACITY: f64 = PLACES as f64 * 1000.0 / MEAN_MS;
-const LENGTH_MS: u64 = 20_000;
-/// Time from a place to the first event.
+const ARRIVALS_MS: u64 = 20_000;
+/// Time from the grant of a place to the first event.
 const FIRST_EVENT: Duration = Duration::from_millis(100);
 
-/// One kind of requests.
+/// A kind of request.
 #[derive(Clone, Copy)]
 struct Kind {
     urgency: Urgency,
-    part: f64,
+    fraction: f64,
     objective: Duration,
 }
 
 const KINDS: [Kind; 3] = [
-    Kind { urgency: (1, 0), part: 0.36, objective: MS_400 },
-    Kind { urgency: (1, 1), part: 0.48, objective: MS_400 },
-    Kind { urgency: (1, 2), part: 0.16, objective: Duration::from_millis(800) },
+    Kind { urgency: (1, 0), fraction: 0.36, objective: MS_400 },
+    Kind { urgency: (1, 1), fraction: 0.48, objective: MS_400 },
+    Kind { urgency: (1, 2), fraction: 0.16, objective: Duration::from_millis(800) },
 ];
 const MS_400: Duration = Duration::from_millis(400);
 
 struct Load {
     order: Order,
-    /// Arrivals, as a part of the capacity.
+    /// Arrival rate, relative to the capacity.
     factor: f64,
     seed: u64,
-    /// Part of the requests that come from one organisation among 24.
+    /// Fraction of the requests that come from one organisation among 24.
     large: f64,
-    /// Part of the requests that come back at once after a refusal, three times.
-    abusers: f64,
-    /// When all places are out, and for how long.
+    /// Fraction of the requests that are retried at once after a refusal, up to four times.
+    immediate_retriers: f64,
+    /// Start and duration of an outage of all places.
     outage_ms: Option<(u64, u64)>,
-    /// How long callers are held beyond the last start that is in time.
+    /// How long requests stay queued beyond their start deadline.
     hold_ms: u64,
-    /// When the configuration begins to name several urgencies.
+    /// When the configuration introduces several urgencies.
     ranked_from_ms: u64,
 }
 
@@ -63,7 +63,7 @@
             factor,
             seed: 7,
             large: 1.0 / 24.0,
-            abusers: 0.0,
+            immediate_retriers: 0.0,
             outage_ms: None,
             hold_ms: 0,
             ranked_from_ms: 0,
@@ -77,19 +77,19 @@
     organisation: usize,
     first_try: Moment,
     tries: u32,
-    abuses: bool,
+    retries_at_once: bool,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Tally {
-    asked: u32,
+    requested: u32,
     in_time: u32,
     served: u32,
 }
 
 impl Tally {
-    fn in_time_part(self) -> f64 {
-        f64::from(self.in_time) / f64::from(self.asked.max(1))
+    fn in_time_fraction(self) -> f64 {
+        f64::from(self.in_time) / f64::from(self.requested.max(1))
     }
 }
 
@@ -97,103 +97,106 @@
 struct Outcome {
     kinds: [Tally; 3],
     organisations: BTreeMap<usize, Tally>,
-    abusers: Tally,
+    immediate_retriers: Tally,
     others: Tally,
-    /// Place-milliseconds that were free while somebody waited.
+    /// Sum over all milliseconds of the places that were free while requests waited.
     idle_ms: usize,
     most_waiting: usize,
     left_waiting: usize,
 }
 
-struct Play {
+struct Simulation {
     load: Load,
     queue: Queue<Call>,
-    returns: RetrySlots,
+    retry_slots: RetrySlots,
     random: SeededSource,
-    /// Ends of the requests that have a place.
-    ends: BinaryHeap<Reverse<Moment>>,
-    /// Callers that come at a moment.
-    coming: BTreeMap<(Moment, u64), Call>,
+    /// End times of the running requests.
+    end_times: BinaryHeap<Reverse<Moment>>,
+    /// Future arrivals, by time and number.
+    arrivals: BTreeMap<(Moment, u64), Call>,
     number: u64,
     outcome: Outcome,
 }
 
-fn play(load: Load) -> Outcome {
+fn simulate(load: Load) -> Outcome {
     let options = QueueOptions { order: load.order, turn_tokens: 1, ..QueueOptions::default() };
-    let mut play = Play {
+    let mut simulation = Simulation {
         random: SeededSource::new(load.seed),
         queue: Queue::new(QueueOptions {
             order: if load.ranked_from_ms > 0 { Order::Arrival } else { load.order },
             ..options
         }),
         load,
-        returns: RetrySlots::default(),
-        ends: BinaryHeap::new(),
-        coming: BTreeMap::new(),
+        retry_slots: RetrySlots::default(),
+        end_times: BinaryHeap::new(),
+        arrivals: BTreeMap::new(),
         number: 0,
         outcome: Outcome::default(),
     };
-    play.draw_callers();
+    simulation.generate_arrivals();
 
-    for ms in 0..LENGTH_MS + 5000 {
-        if ms == play.load.ranked_from_ms && ms > 0 {
-            play.queue.set_options(options);
+    for ms in 0..ARRIVALS_MS + 5000 {
+        if ms == simulation.load.ranked_from_ms && ms > 0 {
+            simulation.queue.set_options(options);
         }
 
-        play.step(MS(ms));
+        simulation.step(MS(ms));
     }
 
-    play.outcome.left_waiting = play.queue.len();
+    simulation.outcome.left_waiting = simulation.queue.len();
 
-    play.outcome
+    simulation.outcome
 }
 
-impl Play {
-    fn draw_callers(&mut self) {
+impl Simulation {
+    fn generate_arrivals(&mut self) {
         let per_ms = self.load.factor * CAPACITY / 1000.0;
 
-        for ms in 0..LENGTH_MS {
+        for ms in 0..ARRIVALS_MS {
             let count = per_ms as usize + usize::from(self.random.unit() < per_ms.fract());
 
             for _ in 0..count {
                 let drawn = self.random.unit();
-                let kind = if drawn < KINDS[0].part {
+                let kind = if drawn < KINDS[0].fraction {
                     0
-                } else if drawn < KINDS[0].part + KINDS[1].part {
+                } else if drawn < KINDS[0].fraction + KINDS[1].fraction {
                     1
                 } else {
                     2
                 };
                 let is_large = self.random.unit() < self.load.large;
                 let organisation = if is_large { 0 } else { 1 + self.random.below(23) };
-                let abuses = self.random.unit() < self.load.abusers;
-                self.come(Call { kind, organisation, first_try: MS(ms), tries: 0, abuses }, MS(ms));
+                let retries_at_once = self.random.unit() < self.load.immediate_retriers;
+                self.arrive(
+                    Call { kind, organisation, first_try: MS(ms), tries: 0, retries_at_once },
+                    MS(ms),
+                );
             }
         }
     }
 
-    fn come(&mut self, call: Call, at: Moment) {
+    fn arrive(&mut self, call: Call, at: Moment) {
         self.number += 1;
-        self.coming.insert((at, self.number), call);
+        self.arrivals.insert((at, self.number), call);
     }
 
-    fn is_out(&self, now: Moment) -> bool {
+    fn is_outage(&self, now: Moment) -> bool {
         self.load.outage_ms.is_some_and(|(at, long)| (MS(at)..MS(at + long)).contains(&now))
     }
 
     fn step(&mut self, now: Moment) {
-        while self.ends.peek().is_some_and(|end| end.0 <= now) {
-            self.ends.pop();
+        while self.end_times.peek().is_some_and(|end| end.0 <= now) {
+            self.end_times.pop();
         }
 
-        self.give_places(now);
+        self.grant_places(now);
 
-        while let Some(entry) = self.coming.first_entry().filter(|e| e.key().0 <= now) {
+        while let Some(entry) = self.arrivals.first_entry().filter(|e| e.key().0 <= now) {
             let call = entry.remove();
-            self.take_call(call, now);
+            self.admit(call, now);
         }
 
-        self.give_places(now);
+        self.grant_places(now);
 
         for (_, waiter, call) in self.queue.remove_expired(now) {
             self.refuse(call, waiter.urgency, now);
@@ -201,13 +204,13 @@
 
         self.outcome.most_waiting = self.outcome.most_waiting.max(self.queue.len());
 
-        if !self.queue.is_empty() && !self.is_out(now) {
-            self.outcome.idle_ms += PLACES - self.ends.len();
+        if !self.queue.is_empty() && !self.is_outage(now) {
+            self.outcome.idle_ms += PLACES - self.end_times.len();
         }
     }
 
-    fn give_places(&mut self, now: Moment) {
-        while self.ends.len() < PLACES && !self.is_out(now) {
+    fn grant_places(&mut self, now: Moment) {
+        while self.end_times.len() < PLACES && !self.is_outage(now) {
             let Some((_, call)) = self.queue.pop(now) else { return };
             self.serve(call, now);
         }
@@ -215,25 +218,28 @@
 
     fn serve(&mut self, call: Call, now: Moment) {
         let long_ms = -MEAN_MS * (1.0 - self.random.unit()).ln();
-        self.ends.push(Reverse(now + MS(long_ms.max(1.0) as u64)));
+        self.end_times.push(Reverse(now + MS(long_ms.max(1.0) as u64)));
         let took = now + FIRST_EVENT - call.first_try;
         let is_in_time = took <= KINDS[call.kind].objective;
-        self.note(call, is_in_time, true);
+        self.record(call, is_in_time, true);
     }
 
-    fn note(&mut self, call: Call, is_in_time: bool, is_served: bool) {
-        let by_habit =
-            if call.abuses { &mut self.outcome.abusers } else { &mut self.outcome.others };
+    fn record(&mut self, call: Call, is_in_time: bool, is_served: bool) {
+        let by_behaviour = if call.retries_at_once {
+            &mut self.outcome.immediate_retriers
+        } else {
+            &mut self.outcome.others
+        };
         let by_organisation = self.outcome.organisations.entry(call.organisation).or_default();
 
-        for tally in [&mut self.outcome.kinds[call.kind], by_habit, by_organisation] {
-            tally.asked += 1;
+        for tally in [&mut self.outcome.kinds[call.kind], by_behaviour, by_organisation] {
+            tally.requested += 1;
             tally.in_time += u32::from(is_in_time);
             tally.served += u32::from(is_served);
         }
     }
 
-    fn take_call(&mut self, call: Call, now: Moment) {
+    fn admit(&mut self, call: Call, now: Moment) {
         let kind = KINDS[call.kind];
         let start_by = now + kind.objective - FIRST_EVENT;
         let waiter = Waiter {
@@ -246,12 +252,12 @@
             is_resumed: false,
         };
 
-        if self.queue.is_empty() && self.ends.len() < PLACES && !self.is_out(now) {
+        if self.queue.is_empty() && self.end_times.len() < PLACES && !self.is_outage(now) {
             self.queue.record_immediate(kind.urgency, now);
             return self.serve(call, now);
         }
 
-        let is_ranked = self.queue.order() == Order::Urgency && !self.is_out(now);
+        let is_ranked = self.queue.order() == Order::Urgency && !self.is_outage(now);
         let wait = self.queue.expected_wait(&waiter).filter(|_| is_ranked);
 
         if wait.is_some_and(|wait| now + wait > start_by) {
@@ -266,134 +272,142 @@
         while let Some((ticket, _)) =
             self.queue.newest_too_late(kind.urgency, now).filter(|_| is_ranked)
         {
-            self.turn_out(ticket, now);
+            self.evict(ticket, now);
         }
     }
 
-    fn turn_out(&mut self, ticket: Ticket, now: Moment) {
-        let (waiter, call) = self.queue.remove(ticket, now).expect("it waits");
+    fn evict(&mut self, ticket: Ticket, now: Moment) {
+        let (waiter, call) = self.queue.remove(ticket, now).expect("the request waits");
         self.refuse(call, waiter.urgency, now);
     }
 
     fn refuse(&mut self, call: Call, urgency: Urgency, now: Moment) {
-        let most = if call.abuses { 4 } else { 1 };
+        let max_retries = if call.retries_at_once { 4 } else { 1 };
 
-        if call.tries >= most {
-            return self.note(call, false, false);
+        if call.tries >= max_retries {
+            return self.record(call, false, false);
         }
 
         let time_left = (call.first_try + MS(8000)).saturating_sub(now);
         let rate_per_s = self.queue.grants_per_s().unwrap_or(CAPACITY);
-        let schedule = ExpectedCapacity { first_place_in: MS(50), rate_per_s, time_left };
-        let wait = self.returns.retry_after(urgency, schedule, now, &mut self.random);
-        let wait = if call.abuses { MS(5) } else { wait };
-        self.come(Call { tries: call.tries + 1, ..call }, now + wait);
+        let expected = ExpectedCapacity { first_place_in: MS(50), rate_per_s, time_left };
+        let wait = self.retry_slots.retry_after(urgency, expected, now, &mut self.random);
+        let wait = if call.retries_at_once { MS(5) } else { wait };
+        self.arrive(Call { tries: call.tries + 1, ..call }, now + wait);
     }
 }
 
-fn parts(outcome: &Outcome) -> [f64; 3] {
-    outcome.kinds.map(Tally::in_time_part)
+fn in_time_fractions(outcome: &Outcome) -> [f64; 3] {
+    outcome.kinds.map(Tally::in_time_fraction)
 }
 
-/// Half as many again as there is room for: what is short falls on the least urgent, which keep their share.
+/// At 1.5 times the capacity, the shortage falls on the less urgent requests, which keep their
+/// share.
 #[test]
-fn beyond_the_room_what_is_short_falls_on_the_least_urgent() {
-    let race = play(Load::new(Order::Arrival, 1.5));
-    let ranked = play(Load::new(Order::Urgency, 1.5));
-    let (before, after) = (parts(&race), parts(&ranked));
-    println!("1.5 times the room, in time: {before:.3?} by arrival, {after:.3?} by urgency");
+fn overload_falls_on_the_least_urgent_requests() {
+    let by_arrival = simulate(Load::new(Order::Arrival, 1.5));
+    let by_urgency = simulate(Load::new(Order::Urgency, 1.5));
+    let (before, after) = (in_time_fractions(&by_arrival), in_time_fractions(&by_urgency));
+    println!("1.5 times the capacity, in time: {before:.3?} by arrival, {after:.3?} by urgency");
 
     assert!(after[0] > 0.95, "{after:?}");
     assert!(after[0] > before[0] + 0.2, "{before:?} {after:?}");
     assert!(after[1] > 0.35 && after[2] > 0.25, "{after:?}");
     assert!(after[0] > after[1] && after[1] > after[2], "{after:?}");
-    assert_eq!(ranked.idle_ms, 0, "no place is free while somebody waits");
-    assert_eq!(ranked.left_waiting, 0);
+    assert_eq!(by_urgency.idle_ms, 0, "no place is free while requests wait");
+    assert_eq!(by_urgency.left_waiting, 0);
 
-    // All in all as many come in time: the order costs nothing.
+    // The order by urgency serves about as many requests in time overall.
     let all = |outcome: &Outcome| outcome.kinds.iter().map(|t| t.in_time).sum::<u32>();
-    println!("{} by arrival, {} by urgency in time", all(&race), all(&ranked));
-    assert!(f64::from(all(&ranked)) > 0.95 * f64::from(all(&race)));
+    println!("{} by arrival, {} by urgency in time", all(&by_arrival), all(&by_urgency));
+    assert!(f64::from(all(&by_urgency)) > 0.95 * f64::from(all(&by_arrival)));
 }
 
 #[test]
-fn with_room_for_all_nobody_is_refused() {
-    let ranked = play(Load::new(Order::Urgency, 0.8));
-
-    assert!(ranked.kinds.iter().all(|t| t.served == t.asked), "{:?}", ranked.kinds);
-    assert!(parts(&ranked).iter().all(|part| *part > 0.99), "{:?}", ranked.kinds);
+fn below_capacity_no_request_is_refused() {
+    let by_urgency = simulate(Load::new(Order::Urgency, 0.8));
+
+    assert!(by_urgency.kinds.iter().all(|t| t.served == t.requested), "{:?}", by_urgency.kinds);
+    assert!(
+        in_time_fractions(&by_urgency).iter().all(|fraction| *fraction > 0.99),
+        "{:?}",
+        by_urgency.kinds
+    );
 }
 
-/// A large organisation takes what the others leave over, and no more.
+/// A large organisation gets what the others leave unused, and no more.
 #[test]
-fn a_small_organisation_is_served_beside_a_large_one() {
+fn a_large_organisation_does_not_starve_small_ones() {
     let heavy = |order| Load { large: 0.7, ..Load::new(order, 1.5) };
-    let (race, ranked) = (play(heavy(Order::Arrival)), play(heavy(Order::Urgency)));
+    let (by_arrival, by_urgency) =
+        (simulate(heavy(Order::Arrival)), simulate(heavy(Order::Urgency)));
     let small = |outcome: &Outcome| {
         let mut sum = Tally::default();
 
         for (_, tally) in outcome.organisations.iter().filter(|(o, _)| **o > 0) {
-            sum.asked += tally.asked;
+            sum.requested += tally.requested;
             sum.in_time += tally.in_time;
         }
 
-        sum.in_time_part()
+        sum.in_time_fraction()
     };
-    let large = ranked.organisations[&0].in_time_part();
+    let large = by_urgency.organisations[&0].in_time_fraction();
     println!(
-        "small ones in time: {:.3} by arrival, {:.3}; large {large:.3}",
-        small(&race),
-        small(&ranked)
+        "small organisations in time: {:.3} by arrival, {:.3}; large {large:.3}",
+        small(&by_arrival),
+        small(&by_urgency)
     );
 
-    assert!(small(&ranked) > 0.9, "{}", small(&ranked));
-    assert!(small(&ranked) > small(&race) + 0.2);
-    assert!(large > 0.4, "what the others leave over is not left free: {large}");
+    assert!(small(&by_urgency) > 0.9, "{}", small(&by_urgency));
+    assert!(small(&by_urgency) > small(&by_arrival) + 0.2);
+    assert!(large > 0.4, "the large organisation uses the rest of the capacity: {large}");
 }
 
-/// Callers that come back at once, and often, take nothing from the others.
+/// Callers that retry at once, and several times, take little from the others.
 #[test]
-fn callers_that_repeat_at_once_gain_little() {
-    let calm = play(Load::new(Order::Urgency, 1.3));
-    let abused = play(Load { abusers: 0.3, ..Load::new(Order::Urgency, 1.3) });
-    let (calm, others) = (calm.others.in_time_part(), abused.others.in_time_part());
-    println!("others in time: {calm:.3} without, {others:.3} with callers that repeat at once");
+fn immediate_retries_gain_little() {
+    let calm = simulate(Load::new(Order::Urgency, 1.3));
+    let with_retriers =
+        simulate(Load { immediate_retriers: 0.3, ..Load::new(Order::Urgency, 1.3) });
+    let (calm, others) = (calm.others.in_time_fraction(), with_retriers.others.in_time_fraction());
+    println!("others in time: {calm:.3} without, {others:.3} with callers that retry at once");
 
     assert!(others > calm - 0.12, "{calm} {others}");
-    assert_eq!(abused.idle_ms, 0);
+    assert_eq!(with_retriers.idle_ms, 0);
 }
 
-/// A quarter of all requests ask for one subject: each of them is a request as any other.
+/// A quarter of all requests come from one organisation; the others still get their share.
 #[test]
-fn a_hot_subject_leaves_the_others_their_part() {
-    let ranked = play(Load { large: 0.25, ..Load::new(Order::Urgency, 1.3) });
-    let parts: Vec<f64> =
-        ranked.organisations.iter().skip(1).map(|(_, t)| t.in_time_part()).collect();
-    let least = parts.iter().copied().fold(1.0, f64::min);
+fn a_hot_organisation_leaves_the_others_their_share() {
+    let by_urgency = simulate(Load { large: 0.25, ..Load::new(Order::Urgency, 1.3) });
+    let fractions: Vec<f64> =
+        by_urgency.organisations.iter().skip(1).map(|(_, t)| t.in_time_fraction()).collect();
+    let min = fractions.iter().copied().fold(1.0, f64::min);
 
-    assert!(least > 0.6, "{parts:?}");
+    assert!(min > 0.6, "{fractions:?}");
 }
 
-/// A group that is out for a second with hundreds waiting: all of them get a place or a word, and service goes on.
+/// After an outage of 1.8 s with hundreds of waiting requests, each of them has been served or
+/// refused, and service continues.
 #[test]
-fn nobody_hangs_when_all_places_go_out() {
+fn no_request_hangs_after_an_outage_of_all_places() {
     let outage =
         Load { outage_ms: Some((8000, 1800)), hold_ms: 1500, ..Load::new(Order::Urgency, 1.3) };
-    let out = play(outage);
-    println!("{} waited at the most, in time {:.3?}", out.most_waiting, parts(&out));
+    let out = simulate(outage);
+    println!("at most {} waited, in time {:.3?}", out.most_waiting, in_time_fractions(&out));
 
     assert!(out.most_waiting > 500, "{}", out.most_waiting);
     assert_eq!((out.left_waiting, out.idle_ms), (0, 0));
-    assert!(out.kinds[0].in_time_part() > 0.8, "{:?}", out.kinds);
+    assert!(out.kinds[0].in_time_fraction() > 0.8, "{:?}", out.kinds);
 }
 
-/// Urgencies that are named while hundreds wait hold for those who wait.
+/// Urgencies that are introduced while hundreds of requests wait apply to the waiting requests.
 #[test]
-fn urgencies_that_change_while_some_wait_lose_nobody() {
-    let changed = play(Load { ranked_from_ms: 10_000, ..Load::new(Order::Urgency, 1.5) });
+fn introducing_urgencies_loses_no_waiting_request() {
+    let changed = simulate(Load { ranked_from_ms: 10_000, ..Load::new(Order::Urgency, 1.5) });
 
-    let never = play(Load::new(Order::Arrival, 1.5));
+    let never = simulate(Load::new(Order::Arrival, 1.5));
     assert_eq!((changed.left_waiting, changed.idle_ms), (0, 0));
-    let (changed, never) = (parts(&changed)[0], parts(&never)[0]);
+    let (changed, never) = (in_time_fractions(&changed)[0], in_time_fractions(&never)[0]);
     assert!(changed > never + 0.25, "the second half is served by urgency: {never} {changed}");
 }
