--- a/grebedeck-kernel/src/clock.rs
+++ b/grebedeck-kernel/src/clock.rs
@@ -1,14 +1,14 @@
-//! The process's steady clock, as the deciders take it.
+//! Monotonic clock of a process, the time source of the decision logic.
 //!
-//! It counts the time in which the instance was suspended. A process that wakes from that is as one that was frozen: all
-//! that it believes is that much older, and deadlines, leases and rests have run on.
+//! The clock includes the time during which the instance was suspended. After a resume, the state
+//! of the process is older by that time, so deadlines, leases and backoffs must have run on.
 
 use std::time::Duration;
 
 use grebedeck_core::Moment;
 use rustix::time::{ClockId, clock_gettime};
 
-/// Counts time since it was made.
+/// Monotonic clock that starts at zero when it is created.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Duration,
@@ -21,13 +21,13 @@
 }
 
 impl Clock {
-    /// Gets the time since the clock was made.
+    /// Returns the time since the clock was created.
     pub fn now(&self) -> Moment {
         since_boot().saturating_sub(self.start)
     }
 }
 
-/// Gets the time since the instance was booted, suspensions included, which `Instant` leaves out.
+/// Returns the time since the instance booted, including suspensions, which `Instant` excludes.
 pub fn since_boot() -> Duration {
     let time = clock_gettime(ClockId::Boottime);
     let seconds = u64::try_from(time.tv_sec).unwrap_or_default();
--- a/grebedeck-kernel/src/kernel.rs
+++ b/grebedeck-kernel/src/kernel.rs
@@ -1,19 +1,19 @@
-//! Registry of a process's services.
+//! Registry of the services of a process.
 
 use std::any::Any;
 use std::sync::{Arc, Mutex, PoisonError};
 
 use serde_json::{Map, Value};
 
-/// A part of a process that others find by name.
+/// A component of a process that others look up by name.
 pub trait Service: Any + Send + Sync {
-    /// Gets the state for a dump. It holds no key, token or content of requests.
+    /// Returns the state for a dump. Must not contain keys, tokens or request content.
     fn dump(&self) -> Value;
 
-    /// Takes no new work from now on.
+    /// Stops accepting new work.
     fn begin_stop(&self) {}
 
-    /// Tells whether nothing is under way any more.
+    /// Returns whether no work is in progress.
     fn is_idle(&self) -> bool {
         true
     }
@@ -24,14 +24,14 @@
     service: Arc<dyn Service>,
 }
 
-/// The services of one process. Look-ups happen while services are made, never on a request.
+/// Services of one process. Look-ups happen while services are created, never per request.
 #[derive(Clone, Default)]
 pub struct Kernel {
     entries: Arc<Mutex<Vec<Entry>>>,
 }
 
 impl Kernel {
-    /// Registers a service and gives its handle back.
+    /// Registers a service and returns its handle. Panics if the name is taken.
     pub fn register<S: Service>(&self, name: &'static str, service: S) -> Arc<S> {
         let service = Arc::new(service);
         let mut entries = self.lock();
@@ -42,7 +42,7 @@
         service
     }
 
-    /// Finds a service by its name.
+    /// Returns the service of this name, or `None` if there is none of type `S`.
     pub fn find<S: Service>(&self, name: &str) -> Option<Arc<S>> {
         let entries = self.lock();
         let service = entries.iter().find(|e| e.name == name)?.service.clone();
@@ -51,7 +51,7 @@
         any.downcast().ok()
     }
 
-    /// Finds a service that must have been registered before.
+    /// Returns the service of this name. Panics if there is none of type `S`.
     pub fn require<S: Service>(&self, name: &str) -> Arc<S> {
         match self.find(name) {
             Some(service) => service,
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Gets the dump of all services, by name.
+    /// Returns the state of all services, by name.
     pub fn dump(&self) -> Value {
         let entries = self.lock();
         let dumps: Map<String, Value> =
@@ -68,12 +68,12 @@
         Value::Object(dumps)
     }
 
-    /// Tells all services to take no new work, the last registered first.
+    /// Stops all services from accepting new work, the last registered first.
     pub fn begin_stop(&self) {
         self.lock().iter().rev().for_each(|e| e.service.begin_stop());
     }
 
-    /// Tells whether no service has anything under way.
+    /// Returns whether no service has work in progress.
     pub fn is_idle(&self) -> bool {
         self.lock().iter().all(|e| e.service.is_idle())
     }
--- a/grebedeck-kernel/src/lib.rs
+++ b/grebedeck-kernel/src/lib.rs
@@ -1,9 +1,8 @@
-//! The micro-kernel of a grebedeck process.
+//! Common infrastructure of a grebedeck process: service registry, clock, logging and metrics.
 //!
-//! A process is a set of services that are registered by name and find each other by name. The
-//! kernel starts none of their tasks; it hands out handles, gathers the dump of all of them, and
-//! stops them in the reverse order of their registration. [`Metrics`] counts, and [`log`] writes
-//! a line when a state changes.
+//! A process is a set of services that register with the [`Kernel`] and look each other up by name.
+//! The kernel starts none of their tasks. It hands out handles, collects their state for a dump,
+//! and stops them in the reverse order of their registration.
 
 #![forbid(unsafe_code)]
 
--- a/grebedeck-kernel/src/log.rs
+++ b/grebedeck-kernel/src/log.rs
@@ -1,7 +1,8 @@
-//! Log lines, one JSON object each, on standard output.
+//! Logging to standard output, one JSON object per line.
 //!
-//! Lines go through a bounded queue to a thread of their own, so that a reader that stalls never stalls
-//! the process. When the queue is full lines are dropped, and how many is told as soon as one fits again.
+//! Lines pass through a bounded queue to a writer thread, so that a stalled reader of standard
+//! output never blocks the process. When the queue is full, lines are dropped. Their number is
+//! logged before the next line that is written.
 
 use std::io::{self, Write};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -15,47 +16,47 @@
 
 pub use spdlog::{error, info, warn};
 
-/// Lines that may wait for the reader: some seconds of the most that a process logs.
-const QUEUED_LINES: usize = 2048;
-/// How long a process that ends waits for its last lines to be read.
+/// Capacity of the queue: several seconds at the maximum log rate of a process.
+const QUEUE_CAPACITY: usize = 2048;
+/// How long a process that exits waits for its last lines to be written.
 const FINISH_LIMIT: Duration = Duration::from_millis(200);
 
-/// Pause between two looks whether the queue has room.
-const FINISH_PAUSE: Duration = Duration::from_millis(5);
+/// Interval at which [`LogQueue::finish`] retries while the queue is full.
+const FINISH_RETRY_INTERVAL: Duration = Duration::from_millis(5);
 
 static QUEUE: OnceLock<LogQueue> = OnceLock::new();
 
 enum Entry {
     Lines(Vec<u8>),
-    /// Everything before it has been written.
-    Mark(SyncSender<()>),
+    /// Signalled once all earlier lines have been written.
+    Flush(SyncSender<()>),
 }
 
-/// The queue in front of the thread that writes.
+/// Bounded queue of lines for the writer thread.
 #[derive(Clone)]
 pub struct LogQueue {
     sender: SyncSender<Entry>,
     dropped: Arc<AtomicU64>,
 }
 
-/// Collects what the logger writes and puts it into the queue when the logger flushes.
+/// Buffers the logger's output and queues it when the logger flushes.
 struct QueueWriter {
     queue: LogQueue,
     lines: Vec<u8>,
 }
 
 impl LogQueue {
-    /// Makes a queue with a thread that writes to `output`.
+    /// Creates a queue and starts its writer thread. `capacity` is in entries.
     pub fn start(output: impl Write + Send + 'static, capacity: usize) -> Self {
         let (sender, receiver) = sync_channel(capacity);
         let dropped = Arc::new(AtomicU64::new(0));
-        let counted = dropped.clone();
-        std::thread::spawn(move || write_lines(&receiver, &counted, output));
+        let writer_dropped = dropped.clone();
+        std::thread::spawn(move || write_lines(&receiver, &writer_dropped, output));
 
         LogQueue { sender, dropped }
     }
 
-    /// Puts whole lines into the queue, or drops them where it is full.
+    /// Queues complete lines, or drops them if the queue is full.
     pub fn push(&self, lines: Vec<u8>) {
         if let Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) =
             self.sender.try_send(Entry::Lines(lines))
@@ -64,18 +65,18 @@
         }
     }
 
-    /// Waits until all lines have been written, within a limit.
+    /// Waits until all queued lines have been written, at most for `limit`.
     pub fn finish(&self, limit: Duration) {
         let (sender, receiver) = sync_channel(1);
         let deadline = Instant::now() + limit;
 
-        while self.sender.try_send(Entry::Mark(sender.clone())).is_err() {
-            // The queue is full; a reader that has stalled gets no more time than the limit.
+        while self.sender.try_send(Entry::Flush(sender.clone())).is_err() {
+            // The queue is full; a stalled reader must not delay the exit beyond the limit.
             if Instant::now() >= deadline {
                 return;
             }
 
-            std::thread::sleep(FINISH_PAUSE);
+            std::thread::sleep(FINISH_RETRY_INTERVAL);
         }
 
         let _ = receiver.recv_timeout(deadline.saturating_duration_since(Instant::now()));
@@ -100,26 +101,26 @@
 
 fn write_lines(receiver: &Receiver<Entry>, dropped: &AtomicU64, mut output: impl Write) {
     for entry in receiver {
-        let lost = dropped.swap(0, Ordering::Relaxed);
+        let count = dropped.swap(0, Ordering::Relaxed);
 
-        // Where even the output is gone there is nobody left to tell.
-        if lost > 0 {
+        // A failed write is ignored, as there is no other output to report it to.
+        if count > 0 {
             let _ = writeln!(
                 output,
-                r#"{{"level":"warn","payload":"log lines dropped","kv":{{"count":{lost}}}}}"#
+                r#"{{"level":"warn","payload":"log lines dropped","kv":{{"count":{count}}}}}"#
             );
         }
 
         match entry {
             Entry::Lines(lines) => drop(output.write_all(&lines).and_then(|()| output.flush())),
-            Entry::Mark(done) => drop(done.try_send(())),
+            Entry::Flush(done) => drop(done.try_send(())),
         }
     }
 }
 
-/// Sends the log to standard output, one JSON object a line.
+/// Installs the default logger, which writes to standard output.
 pub fn start(level: Level) -> Result<(), spdlog::Error> {
-    let queue = QUEUE.get_or_init(|| LogQueue::start(io::stdout(), QUEUED_LINES)).clone();
+    let queue = QUEUE.get_or_init(|| LogQueue::start(io::stdout(), QUEUE_CAPACITY)).clone();
     let sink = WriteSink::builder()
         .target(QueueWriter { queue, lines: Vec::new() })
         .formatter(JsonFormatter::new())
@@ -134,50 +135,51 @@
     Ok(())
 }
 
-/// Gives the last lines a moment to be written before the process ends.
+/// Waits briefly for the last lines to be written before the process exits.
 pub fn finish() {
     if let Some(queue) = QUEUE.get() {
         queue.finish(FINISH_LIMIT);
     }
 }
 
-/// Lets a number of lines through in each second, and counts the others.
+/// Token bucket that limits the rate of log lines and counts the suppressed ones.
 #[derive(Clone, Debug)]
 pub struct LineRateLimiter {
     per_s: f64,
-    saved: f64,
-    at: Duration,
-    left_out: u64,
+    tokens: f64,
+    updated_at: Duration,
+    suppressed: u64,
 }
 
 impl LineRateLimiter {
-    /// Makes a budget that lets `per_s` through, and as many at once after a pause.
+    /// Creates a limiter of `per_s` lines per second, with an equal burst size.
     pub fn new(per_s: f64) -> Self {
-        LineRateLimiter { per_s, saved: per_s, at: Duration::ZERO, left_out: 0 }
+        LineRateLimiter { per_s, tokens: per_s, updated_at: Duration::ZERO, suppressed: 0 }
     }
 
-    /// Takes one; where there is none left, it is counted.
+    /// Takes a token. Without one, returns `false` and counts the line as suppressed.
     pub fn try_acquire(&mut self, now: Duration) -> bool {
-        let passed = now.saturating_sub(self.at).as_secs_f64();
-        self.at = now;
-        self.saved = (self.saved + passed * self.per_s).min(self.per_s);
+        let passed = now.saturating_sub(self.updated_at).as_secs_f64();
+        self.updated_at = now;
+        self.tokens = (self.tokens + passed * self.per_s).min(self.per_s);
 
-        if self.saved < 1.0 {
-            self.left_out += 1;
+        if self.tokens < 1.0 {
+            self.suppressed += 1;
             return false;
         }
 
-        self.saved -= 1.0;
+        self.tokens -= 1.0;
         true
     }
 
-    /// Takes one, where there is one left; gives how many were not let through before it.
+    /// Takes a token and returns the number of lines suppressed since the last report, or
+    /// `None` without a token.
     pub fn try_acquire_line(&mut self, now: Duration) -> Option<u64> {
         self.try_acquire(now).then(|| self.take_suppressed())
     }
 
-    /// Gets how many were not let through since this was asked last.
+    /// Returns and resets the number of suppressed lines.
     pub fn take_suppressed(&mut self) -> u64 {
-        std::mem::take(&mut self.left_out)
+        std::mem::take(&mut self.suppressed)
     }
 }
--- a/grebedeck-kernel/src/metrics.rs
+++ b/grebedeck-kernel/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and histograms, exposed in the text form that scrapers read.
+//! Counters, gauges and histograms, exported in the Prometheus text format.
 
 use std::time::Duration;
 
@@ -7,28 +7,29 @@
 use opentelemetry_sdk::metrics::SdkMeterProvider;
 use prometheus::{Registry, TextEncoder};
 
-/// A process's metrics.
+/// Metrics of a process.
 #[derive(Clone)]
 pub struct Metrics {
     registry: Registry,
     provider: SdkMeterProvider,
 }
 
-/// A counter with one optional label.
+/// A counter with one label.
 #[derive(Clone)]
 pub struct Counter {
     counter: opentelemetry::metrics::Counter<u64>,
     label: &'static str,
 }
 
-/// A histogram of times with one optional label.
+/// A histogram of durations with one label.
 #[derive(Clone)]
 pub struct Histogram {
     histogram: opentelemetry::metrics::Histogram<f64>,
     label: &'static str,
 }
 
-/// Upper bounds of the histograms' buckets, in seconds: from a hop within a hall to the longest deadline.
+/// Upper bounds of the histogram buckets, from a network hop within a data hall to the longest
+/// deadline.
 const BOUNDS_S: [f64; 14] =
     [0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.08, 0.12, 0.25, 0.4, 0.8, 1.6, 3.2, 8.0];
 
@@ -38,7 +39,7 @@
         let exporter = opentelemetry_prometheus::exporter()
             .with_registry(registry.clone())
             .build()
-            .expect("a fresh registry takes an exporter");
+            .expect("exporter registers with a new registry");
         let provider = SdkMeterProvider::builder().with_reader(exporter).build();
 
         Metrics { registry, provider }
@@ -46,7 +47,7 @@
 }
 
 impl Metrics {
-    /// Makes a counter whose values are told apart by `label`.
+    /// Creates a counter with the label `label`.
     pub fn counter(&self, name: &'static str, label: &'static str, help: &'static str) -> Counter {
         let meter = self.provider.meter("grebedeck");
         let counter = meter.u64_counter(name).with_description(help).build();
@@ -54,7 +55,7 @@
         Counter { counter, label }
     }
 
-    /// Makes a histogram of times in seconds, told apart by `label`.
+    /// Creates a histogram of durations in seconds with the label `label`.
     pub fn histogram(
         &self,
         name: &'static str,
@@ -71,7 +72,7 @@
         Histogram { histogram, label }
     }
 
-    /// Adds a gauge that is read when the metrics are.
+    /// Registers a gauge. `read` is called at each export.
     pub fn gauge(
         &self,
         name: &'static str,
@@ -84,7 +85,8 @@
         gauge.with_callback(move |observer| observer.observe(read(), &[])).build();
     }
 
-    /// Adds a gauge that is read when the metrics are, with values told apart by `label`.
+    /// Registers a gauge with the label `label`. `read` is called at each export and returns a
+    /// value for each value of the label.
     pub fn labelled_gauge(
         &self,
         name: &'static str,
@@ -103,26 +105,26 @@
         gauge.with_callback(observe).build();
     }
 
-    /// Gets all metrics as text.
+    /// Returns all metrics in the text format.
     pub fn text(&self) -> String {
         TextEncoder::new().encode_to_string(&self.registry.gather()).unwrap_or_default()
     }
 }
 
 impl Histogram {
-    /// Notes a time.
+    /// Records a duration under a value of the label.
     pub fn record(&self, time: Duration, label: &'static str) {
         self.histogram.record(time.as_secs_f64(), &[KeyValue::new(self.label, label)]);
     }
 }
 
 impl Counter {
-    /// Adds one.
+    /// Increments the count of a value of the label.
     pub fn add(&self, label: &'static str) {
         self.add_many(1, label);
     }
 
-    /// Adds a number.
+    /// Adds to the count of a value of the label.
     pub fn add_many(&self, count: u64, label: &'static str) {
         self.counter.add(count, &[KeyValue::new(self.label, label)]);
     }
--- a/grebedeck-kernel/tests/clock.rs
+++ b/grebedeck-kernel/tests/clock.rs
@@ -1,33 +1,33 @@
-//! The clock counts all time, also that in which the instance was suspended.
+//! The clock includes the time during which the instance was suspended.
 
 use std::time::Duration;
 
 use grebedeck_kernel::Clock;
 use grebedeck_kernel::clock::since_boot;
 
-/// The system tells its uptime in hundredths of a second.
+/// Resolution of `/proc/uptime`.
 const RESOLUTION: Duration = Duration::from_millis(10);
 
 fn uptime() -> Duration {
-    let text = std::fs::read_to_string("/proc/uptime").expect("the system's uptime");
-    let seconds = text.split(' ').next().expect("its first field");
+    let text = std::fs::read_to_string("/proc/uptime").expect("readable /proc/uptime");
+    let seconds = text.split(' ').next().expect("a first field");
 
-    Duration::from_secs_f64(seconds.parse().expect("a number"))
+    Duration::from_secs_f64(seconds.parse().expect("uptime in seconds"))
 }
 
 #[test]
-fn it_is_the_clock_of_the_systems_uptime() {
-    // Of the system's clocks that never jump, it is the only one that a suspension moves.
-    let (before, seen, after) = (uptime(), since_boot(), uptime());
+fn clock_matches_system_uptime() {
+    // The boot-time clock is the only monotonic system clock that includes suspensions.
+    let (before, measured, after) = (uptime(), since_boot(), uptime());
 
     assert!(
-        before <= seen + RESOLUTION && seen <= after + RESOLUTION,
-        "{before:?} {seen:?} {after:?}"
+        before <= measured + RESOLUTION && measured <= after + RESOLUTION,
+        "{before:?} {measured:?} {after:?}"
     );
 }
 
 #[test]
-fn it_counts_on() {
+fn clock_advances() {
     let clock = Clock::default();
     let before = clock.now();
     std::thread::sleep(Duration::from_millis(20));
