--- a/grebedeck-admission/src/lib.rs
+++ b/grebedeck-admission/src/lib.rs
@@ -4,9 +4,9 @@
 //! A place is the right to run one request on a target. Each gateway decides for its own callers.
 //! [`queue`] orders the waiting requests by urgency, with a guaranteed [`share`] for the less
 //! urgent ones; within an urgency, [`fair`] alternates between organisations; within an
-//! organisation, the earliest start deadline that can still be met comes first. [`flow`] measures
-//! the rate at which places are granted, from which the queue estimates waiting times. [`returns`]
-//! spreads the retries of refused callers over the expected capacity.
+//! organisation, the earliest start deadline that can still be met comes first. [`grant_rate`]
+//! measures the rate at which places are granted, from which the queue estimates waiting times.
+//! [`returns`] spreads the retries of refused callers over the expected capacity.
 //!
 //! The logic does no I/O: time and randomness are passed in. Its state may be lost with the
 //! process, since callers retry.
@@ -14,7 +14,7 @@
 #![forbid(unsafe_code)]
 
 pub mod fair;
-pub mod flow;
+pub mod grant_rate;
 pub mod queue;
 pub mod returns;
 pub mod share;
--- a/grebedeck-admission/src/queue.rs
+++ b/grebedeck-admission/src/queue.rs
@@ -16,7 +16,7 @@
 use grebedeck_core::{Moment, OrganisationName};
 
 use crate::fair::FairQueue;
-use crate::flow::GrantRate;
+use crate::grant_rate::GrantRate;
 use crate::share::{MIN_SHARE, Shares};
 
 /// Id of a waiting request, in the order of arrival.
@@ -103,7 +103,7 @@
     classes: BTreeMap<Class, FairQueue>,
     by_expiry: BTreeSet<(Moment, Ticket)>,
     shares: Shares,
-    flow: GrantRate,
+    grant_rate: GrantRate,
     next_ticket: Ticket,
 }
 
@@ -116,7 +116,7 @@
             classes: BTreeMap::new(),
             by_expiry: BTreeSet::new(),
             shares: Shares::default(),
-            flow: GrantRate::default(),
+            grant_rate: GrantRate::default(),
             next_ticket: 0,
         }
     }
@@ -206,7 +206,7 @@
         self.advance(now);
         let entry = self.take_entry(ticket, true)?;
         self.shares.record_served(entry.waiter.urgency, now);
-        self.flow.record_grant(entry.waiter.urgency);
+        self.grant_rate.record_grant(entry.waiter.urgency);
 
         Some((entry.waiter, entry.item))
     }
@@ -315,7 +315,7 @@
 
     /// Returns the recent rate of places granted to waiting requests; `None` if unknown.
     pub fn grants_per_s(&self) -> Option<f64> {
-        self.flow.grants_per_s()
+        self.grant_rate.grants_per_s()
     }
 
     /// Estimates the wait behind `beside` requests of the same class and all earlier classes.
@@ -327,11 +327,11 @@
         let before: usize = self.classes.range(..class).map(|(_, fair)| fair.len()).sum();
         // Less urgent requests, if any wait, take their share of the places in the meantime.
         let has_behind = self.classes.last_key_value().is_some_and(|(last, _)| *last > class);
-        let fraction_behind = self.flow.fraction_behind(urgency).min(MIN_SHARE);
+        let fraction_behind = self.grant_rate.fraction_behind(urgency).min(MIN_SHARE);
         let fraction = if has_behind { 1.0 - fraction_behind } else { 1.0 };
-        let in_order_s = (before + beside) as f64 / (self.flow.grants_per_s()? * fraction);
+        let in_order_s = (before + beside) as f64 / (self.grant_rate.grants_per_s()? * fraction);
         // The urgency's own share may exceed what the more urgent requests leave.
-        let in_share_s = beside as f64 / self.flow.grants_per_s_of(urgency)?;
+        let in_share_s = beside as f64 / self.grant_rate.grants_per_s_of(urgency)?;
         let wait_s = in_order_s.min(in_share_s).min(MAX_EXPECTED_WAIT.as_secs_f64());
 
         Some(Duration::from_secs_f64(wait_s))
@@ -405,6 +405,6 @@
     }
 
     fn advance(&mut self, now: Moment) {
-        self.flow.advance(!self.entries.is_empty(), now);
+        self.grant_rate.advance(!self.entries.is_empty(), now);
     }
 }
