--- a/grebedeck-admission/src/lib.rs
+++ b/grebedeck-admission/src/lib.rs
@@ -6,7 +6,7 @@
 //! urgent ones; within an urgency, [`fair`] alternates between organisations; within an
 //! organisation, the earliest start deadline that can still be met comes first. [`grant_rate`]
 //! measures the rate at which places are granted, from which the queue estimates waiting times.
-//! [`returns`] spreads the retries of refused callers over the expected capacity.
+//! [`retry`] spreads the retries of refused callers over the expected capacity.
 //!
 //! The logic does no I/O: time and randomness are passed in. Its state may be lost with the
 //! process, since callers retry.
@@ -16,8 +16,8 @@
 pub mod fair;
 pub mod grant_rate;
 pub mod queue;
-pub mod returns;
+pub mod retry;
 pub mod share;
 
 pub use queue::{Order, Queue, QueueOptions, Ticket, Urgency, Waiter};
-pub use returns::{ExpectedCapacity, RetrySlots};
+pub use retry::{ExpectedCapacity, RetrySlots};
