--- a/grebedeck-admission/src/queue.rs
+++ b/grebedeck-admission/src/queue.rs
@@ -82,7 +82,7 @@
     pub is_resumed: bool,
 }
 
-/// Priority class. Requests of a class precede all requests of later classes.
+/// Priority class. Earlier classes come first, unless a later one is below its share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Class {
     Resumed,
--- a/grebedeck-admission/tests/load.rs
+++ b/grebedeck-admission/tests/load.rs
@@ -17,12 +17,12 @@
 const MS: fn(u64) -> Duration = Duration::from_millis;
 const PLACES: usize = 100;
 /// Mean service time of a request.
-const MEAN_MS: f64 = 400.0;
+const MEAN_SERVICE_MS: f64 = 400.0;
 /// Requests that complete per second with all places occupied.
-const CAPACITY: f64 = PLACES as f64 * 1000.0 / MEAN_MS;
+const CAPACITY_PER_S: f64 = PLACES as f64 * 1000.0 / MEAN_SERVICE_MS;
 const ARRIVALS_MS: u64 = 20_000;
 /// Time from the grant of a place to the first event.
-const FIRST_EVENT: Duration = Duration::from_millis(100);
+const TIME_TO_FIRST_EVENT: Duration = Duration::from_millis(100);
 
 /// A kind of request.
 #[derive(Clone, Copy)]
@@ -45,7 +45,7 @@
     factor: f64,
     seed: u64,
     /// Fraction of the requests that come from one organisation among 24.
-    large: f64,
+    large_fraction: f64,
     /// Fraction of the requests that are retried at once after a refusal, up to four times.
     immediate_retriers: f64,
     /// Start and duration of an outage of all places.
@@ -62,7 +62,7 @@
             order,
             factor,
             seed: 7,
-            large: 1.0 / 24.0,
+            large_fraction: 1.0 / 24.0,
             immediate_retriers: 0.0,
             outage_ms: None,
             hold_ms: 0,
@@ -150,7 +150,7 @@
 
 impl Simulation {
     fn generate_arrivals(&mut self) {
-        let per_ms = self.load.factor * CAPACITY / 1000.0;
+        let per_ms = self.load.factor * CAPACITY_PER_S / 1000.0;
 
         for ms in 0..ARRIVALS_MS {
             let count = per_ms as usize + usize::from(self.random.unit() < per_ms.fract());
@@ -164,7 +164,7 @@
                 } else {
                     2
                 };
-                let is_large = self.random.unit() < self.load.large;
+                let is_large = self.random.unit() < self.load.large_fraction;
                 let organisation = if is_large { 0 } else { 1 + self.random.below(23) };
                 let retries_at_once = self.random.unit() < self.load.immediate_retriers;
                 self.arrive(
@@ -217,9 +217,9 @@
     }
 
     fn serve(&mut self, call: Call, now: Moment) {
-        let long_ms = -MEAN_MS * (1.0 - self.random.unit()).ln();
+        let long_ms = -MEAN_SERVICE_MS * (1.0 - self.random.unit()).ln();
         self.end_times.push(Reverse(now + MS(long_ms.max(1.0) as u64)));
-        let took = now + FIRST_EVENT - call.first_try;
+        let took = now + TIME_TO_FIRST_EVENT - call.first_try;
         let is_in_time = took <= KINDS[call.kind].objective;
         self.record(call, is_in_time, true);
     }
@@ -241,7 +241,7 @@
 
     fn admit(&mut self, call: Call, now: Moment) {
         let kind = KINDS[call.kind];
-        let start_by = now + kind.objective - FIRST_EVENT;
+        let start_by = now + kind.objective - TIME_TO_FIRST_EVENT;
         let waiter = Waiter {
             urgency: kind.urgency,
             organisation: format!("o{}", call.organisation),
@@ -289,7 +289,7 @@
         }
 
         let time_left = (call.first_try + MS(8000)).saturating_sub(now);
-        let rate_per_s = self.queue.grants_per_s().unwrap_or(CAPACITY);
+        let rate_per_s = self.queue.grants_per_s().unwrap_or(CAPACITY_PER_S);
         let expected = ExpectedCapacity { first_place_in: MS(50), rate_per_s, time_left };
         let wait = self.retry_slots.retry_after(urgency, expected, now, &mut self.random);
         let wait = if call.retries_at_once { MS(5) } else { wait };
@@ -338,7 +338,7 @@
 /// A large organisation gets what the others leave unused, and no more.
 #[test]
 fn a_large_organisation_does_not_starve_small_ones() {
-    let heavy = |order| Load { large: 0.7, ..Load::new(order, 1.5) };
+    let heavy = |order| Load { large_fraction: 0.7, ..Load::new(order, 1.5) };
     let (by_arrival, by_urgency) =
         (simulate(heavy(Order::Arrival)), simulate(heavy(Order::Urgency)));
     let small = |outcome: &Outcome| {
@@ -379,7 +379,7 @@
 /// A quarter of all requests come from one organisation; the others still get their share.
 #[test]
 fn a_hot_organisation_leaves_the_others_their_share() {
-    let by_urgency = simulate(Load { large: 0.25, ..Load::new(Order::Urgency, 1.3) });
+    let by_urgency = simulate(Load { large_fraction: 0.25, ..Load::new(Order::Urgency, 1.3) });
     let fractions: Vec<f64> =
         by_urgency.organisations.iter().skip(1).map(|(_, t)| t.in_time_fraction()).collect();
     let min = fractions.iter().copied().fold(1.0, f64::min);
