--- a/grebedeck/src/gateway.rs
+++ b/grebedeck/src/gateway.rs
@@ -101,13 +101,13 @@
     let store = RelayedStore::new(gateway.clone(), store);
     tasks.spawn(watch::follow_operator(gateway.clone(), store.clone())).detach();
     tasks.spawn(watch::follow_targets(gateway.clone(), store.clone())).detach();
-    tasks.spawn(gossip::keep(gateway.clone(), store.clone())).detach();
-    tasks.spawn(peers::follow_list(gateway.clone(), store)).detach();
+    tasks.spawn(gossip::persist_quarantine(gateway.clone(), store.clone())).detach();
+    tasks.spawn(peers::follow_gateways(gateway.clone(), store)).detach();
     tasks.spawn(loads::receive(gateway.clone(), socket.clone())).detach();
     tasks.spawn(loads::subscribe(gateway.clone(), socket.clone())).detach();
-    tasks.spawn(gossip::follow(gateway.clone(), socket.clone())).detach();
-    tasks.spawn(quota::exchange(gateway.clone(), socket)).detach();
-    tasks.spawn(peers::follow_peers(gateway.clone())).detach();
+    tasks.spawn(gossip::exchange_reports(gateway.clone(), socket.clone())).detach();
+    tasks.spawn(quota::exchange_permits(gateway.clone(), socket)).detach();
+    tasks.spawn(peers::poll_peers(gateway.clone())).detach();
     serve_pages(&gateway, ready_listener, async |gateway, _| {
         Page::empty(if gateway.is_ready() { 200 } else { 503 })
     });
@@ -163,8 +163,8 @@
         async_std::task::sleep(options::HOUSEKEEPING_PERIOD).await;
         gateway.drop_lapsed();
         gateway.log_left_out();
-        gateway.forget_warm();
-        gateway.forget_limits();
+        gateway.remove_warm();
+        gateway.remove_expired_limits();
         gateway.refusals.borrow_mut().remove_expired(gateway.now());
         gateway.quarantine.borrow_mut().evict_expired(gateway.now());
         gateway.pool.drop_rested(gateway.now());
--- a/grebedeck/src/gateway/attempt.rs
+++ b/grebedeck/src/gateway/attempt.rs
@@ -66,11 +66,11 @@
         Ok(_) => {
             gateway.counters.attempts.add("opened");
 
-            gateway.note_target_took(&target);
+            gateway.record_accepted(&target);
 
             // That an earlier start took a request says nothing of the one that is there now.
             if !gateway.is_earlier_start(&target) {
-                gateway.note_taken(&request.service);
+                gateway.record_service_success(&request.service);
             }
         }
         Err(failure) => note_failure(gateway, request, &target, failure),
@@ -103,7 +103,7 @@
         }),
         // So does that an earlier one did not.
         _ if gateway.is_earlier_start(target) => {}
-        _ => gateway.note_not_taken(&request.service, cause),
+        _ => gateway.record_service_failure(&request.service, cause),
     }
 }
 
@@ -122,7 +122,7 @@
             in_flight.judge(false);
 
             if error.is_refused() && !gateway.is_earlier_start(target) {
-                gateway.suspect_start(target);
+                gateway.assume_restart(target);
             }
 
             return Err(Failure::not_run(FailureCause::Connect));
@@ -130,9 +130,9 @@
     };
 
     // Whoever got a place, or waited for a connection, before its request was known to crash targets is stopped here.
-    let is_stopped = !gateway.may_still_send(target) || !gateway.may_run(request);
+    let is_stopped = !gateway.may_still_send(target) || !gateway.acquire_clearance(request);
 
-    if is_stopped || !gateway.use_permit(target, permit) {
+    if is_stopped || !gateway.confirm_permit(target, permit) {
         connection.end_exchange();
         return Err(Failure::not_run(FailureCause::Withdrawn));
     }
@@ -156,7 +156,7 @@
     };
 
     if cause == FailureCause::Broken {
-        gateway.note_broken(request, target, sent_at);
+        gateway.record_broken_attempt(request, target, sent_at);
     }
 
     in_flight.judge(false);
@@ -198,7 +198,7 @@
         let echoed = head.headers.text(gateway.names.request_id);
 
         if head.status != MISDIRECTED {
-            gateway.note_leaving_word(target, &head);
+            gateway.record_leaving_header(target, &head);
         }
 
         if echoed.is_none_or(|echoed| echoed == id) {
@@ -239,11 +239,11 @@
     }
 
     let target = &sent.target;
-    gateway.note_load_word(target, head, load);
+    gateway.record_load_headers(target, head, load);
     gateway.record_limit(target, head, verdict, sent.sent_at);
 
     if verdict == Verdict::Refused || refusal.asked.is_some() {
-        gateway.note_refusal(target, refusal, load);
+        gateway.record_refusal(target, refusal, load);
     }
 }
 
--- a/grebedeck/src/gateway/cold.rs
+++ b/grebedeck/src/gateway/cold.rs
@@ -12,14 +12,14 @@
 
 impl Gateway {
     /// Takes in the gateways that the store names, this one included where its row is there.
-    pub fn set_owners(&self, listed: &BTreeSet<SocketAddr>) {
+    pub fn set_cold_gateways(&self, listed: &BTreeSet<SocketAddr>) {
         let own = self.settings().peer_address;
 
         self.cold.borrow_mut().set_gateways(own, listed, self.now());
     }
 
     /// Takes in what a target says of how much longer it is cold.
-    pub fn note_cold(&self, target: &str, remaining: Duration) {
+    pub fn record_cold(&self, target: &str, remaining: Duration) {
         self.cold.borrow_mut().record_report(target, remaining, self.now());
     }
 
@@ -29,17 +29,17 @@
     }
 
     /// Takes in what entries that were written anew say.
-    pub(super) fn note_heard(&self) {
+    pub(super) fn record_updated_entries(&self) {
         let heard = self.targets.borrow_mut().take_updated();
 
         for entry in heard {
-            self.note_cold(&entry.id, entry.cold);
+            self.record_cold(&entry.id, entry.cold);
         }
     }
 
     /// Takes a target that nobody listens for as starting: what answers there next is another start, which is cold
     /// before the list has it.
-    pub(super) fn suspect_start(&self, target: &TargetEntry) {
+    pub(super) fn assume_restart(&self, target: &TargetEntry) {
         let table = self.table();
         let cold_time = table.service(&target.service).map_or(Duration::ZERO, |s| s.cold_time);
 
@@ -49,21 +49,21 @@
     }
 
     /// Takes all targets of a hall that was taken back as starting: they may have turned cold without a word.
-    pub(super) fn suspect_starts_in(&self, hall: &str) {
+    pub(super) fn assume_restarts_in(&self, hall: &str) {
         let there: Vec<Arc<TargetEntry>> =
             self.with_targets(|list| list.all().filter(|t| t.hall == hall).cloned().collect());
 
-        there.iter().for_each(|target| self.suspect_start(target));
+        there.iter().for_each(|target| self.assume_restart(target));
     }
 
     /// Gets how much longer a target is cold.
-    pub fn cold_left(&self, target: &str) -> Duration {
+    pub fn cold_remaining(&self, target: &str) -> Duration {
         self.cold.borrow().remaining(target, self.now())
     }
 
     /// Gets those of a service's targets that bear what they usually do: neither cold nor with a limit, as far as there are
     /// such.
-    pub fn bearing(
+    pub fn at_full_capacity(
         &self,
         targets: &Arc<[Arc<TargetEntry>]>,
         now: Moment,
@@ -89,7 +89,7 @@
     }
 
     /// Gets those of a service's targets to which this gateway may send a request now.
-    pub fn without_held_back(
+    pub fn within_cold_limit(
         &self,
         targets: &Arc<[Arc<TargetEntry>]>,
         now: Moment,
@@ -115,7 +115,7 @@
     }
 
     /// Notes that a request goes to a target, which may be cold.
-    pub(super) fn take_cold(&self, target: &TargetEntry, now: Moment) {
+    pub(super) fn record_cold_send(&self, target: &TargetEntry, now: Moment) {
         let cold_per_s = self.cold_per_s(&target.service);
         let mut cold = self.cold.borrow_mut();
 
@@ -126,7 +126,7 @@
     }
 
     /// Forgets targets that have not been cold for a while.
-    pub(super) fn forget_warm(&self) {
+    pub(super) fn remove_warm(&self) {
         self.cold.borrow_mut().remove_expired(self.now());
     }
 
--- a/grebedeck/src/gateway/dump.rs
+++ b/grebedeck/src/gateway/dump.rs
@@ -22,9 +22,9 @@
                 "id": entry.id, "service": entry.service, "hall": entry.hall,
                 "address": entry.address, "state": entry.state, "in_flight": load.in_flight,
                 "places": load.slots, "takes_work": targets.takes_work(entry),
-                "born_ms": entry.born_ms, "cold_ms": self.cold_left(&entry.id).as_millis() as u64,
+                "born_ms": entry.born_ms, "cold_ms": self.cold_remaining(&entry.id).as_millis() as u64,
                 "readable": targets.is_readable(&entry.id),
-                "rest_ms": self.rest_left(&entry.id, now).as_millis() as u64,
+                "rest_ms": self.retry_after(&entry.id, now).as_millis() as u64,
                 "says_leaving": targets.has_announced_leaving(entry),
                 "limit": self.limit_dump(entry, now),
             })
--- a/grebedeck/src/gateway/gossip.rs
+++ b/grebedeck/src/gateway/gossip.rs
@@ -20,7 +20,7 @@
 use grebedeck_routing::fingerprint::to_hex;
 use grebedeck_routing::quarantine::{RETENTION, StoredChange};
 
-use super::peers::some_of;
+use super::peers::sample_peers;
 use super::service::Gateway;
 use crate::message::SuspectMessage;
 use crate::random::ProcessRandom;
@@ -42,7 +42,7 @@
 const MAX_RETRY_PAUSE: Duration = Duration::from_secs(8);
 
 /// Tells and asks other gateways until the task is dropped.
-pub async fn follow(gateway: Rc<Gateway>, socket: Rc<UdpSocket>) {
+pub async fn exchange_reports(gateway: Rc<Gateway>, socket: Rc<UdpSocket>) {
     let mut asks = 0;
     let mut ask_at = gateway.now();
 
@@ -65,7 +65,7 @@
 }
 
 /// Answers a message of another gateway.
-pub async fn take(
+pub async fn receive(
     gateway: &Rc<Gateway>,
     socket: &UdpSocket,
     from: SocketAddr,
@@ -78,13 +78,13 @@
                 tell(gateway, socket, &[from], report, MAX_PARTS).await;
             }
         }
-        SuspectMessage::Tell(report) => gateway.take_report(&report),
+        SuspectMessage::Tell(report) => gateway.apply_crash_report(&report),
     }
 }
 
 async fn ask(gateway: &Gateway, socket: &UdpSocket) {
     let digest = gateway.quarantine.borrow().digest();
-    let asked = some_of(gateway.peers(), 1, &mut ProcessRandom::default());
+    let asked = sample_peers(gateway.peers(), 1, &mut ProcessRandom::default());
 
     send(gateway, socket, &asked, SuspectMessage::Ask { digest }).await;
 }
@@ -130,8 +130,8 @@
 }
 
 /// Reads what is in quarantine from the store, and keeps it there, until the task is dropped.
-pub async fn keep<S: SiteStore>(gateway: Rc<Gateway>, store: S) {
-    gateway.relay.wait_for_list().await;
+pub async fn persist_quarantine<S: SiteStore>(gateway: Rc<Gateway>, store: S) {
+    gateway.relay.wait_for_gateways().await;
     restore(&gateway, &store).await;
     gateway.relay.set_quarantine_known();
     let mut open: VecDeque<StoredChange> = VecDeque::new();
--- a/grebedeck/src/gateway/halls.rs
+++ b/grebedeck/src/gateway/halls.rs
@@ -34,7 +34,7 @@
 
 impl OperatorView {
     /// Tells whether the evacuated halls were read once, or told by another gateway.
-    pub fn knows_halls(&self) -> bool {
+    pub fn has_hall_statuses(&self) -> bool {
         self.knows_halls.get()
     }
 
@@ -59,7 +59,7 @@
 impl Gateway {
     /// Takes in all that operators have written, asked for at a moment. Fails where no configuration is known and the
     /// one in the store cannot be read, so that other gateways are asked for theirs.
-    pub fn take_operator_state(
+    pub fn apply_operator_snapshot(
         &self,
         snapshot: Snapshot<OperatorState>,
         asked_at: Moment,
@@ -84,7 +84,7 @@
     }
 
     /// Takes in changes of what operators have written, in their order, up to a version.
-    pub fn take_operator_changes(&self, version: StoreVersion, changes: Vec<OperatorChange>) {
+    pub fn apply_operator_changes(&self, version: StoreVersion, changes: Vec<OperatorChange>) {
         for change in changes {
             match change {
                 OperatorChange::Site(site) => {
@@ -105,24 +105,24 @@
         }
 
         self.targets.borrow_mut().advance_halls_version(version);
-        self.note_operator_quiet();
+        self.record_operator_unchanged();
     }
 
     /// Notes that nothing that operators have written is unknown.
-    pub fn note_operator_quiet(&self) {
+    pub fn record_operator_unchanged(&self) {
         let known_at = self.now().saturating_sub(self.relay.operator_age());
         self.operator.current_at.set(Some(known_at));
     }
 
     /// Gets what is known of halls, for other gateways.
-    pub fn hall_words(&self) -> HallStatuses {
+    pub fn hall_statuses(&self) -> HallStatuses {
         let now = self.now();
 
         self.with_targets(|targets| targets.evacuations().statuses(now))
     }
 
     /// Takes in what another gateway knows of halls.
-    pub fn take_hall_words(&self, words: &HallStatuses) {
+    pub fn merge_hall_statuses(&self, words: &HallStatuses) {
         self.take_halls("peer", |halls, now| halls.merge(words, now));
 
         if words.version > 0 {
@@ -180,7 +180,7 @@
                 log::info!("hall taken back", kv: {
                     hall = hall.as_str(), version = *version, from,
                 });
-                self.suspect_starts_in(hall);
+                self.assume_restarts_in(hall);
             }
             HallEvent::Dropped { hall, version } => {
                 self.counters.hall_news.add("left_out");
--- a/grebedeck/src/gateway/handout.rs
+++ b/grebedeck/src/gateway/handout.rs
@@ -18,11 +18,11 @@
 use super::waiting::Obstacle;
 
 /// Hands places out for as long as somebody waits.
-pub async fn serve_line(gateway: Rc<Gateway>, service: ServiceName) {
+pub async fn serve_queue(gateway: Rc<Gateway>, service: ServiceName) {
     loop {
         // Listening begins before the look, so that no place is missed between them.
         let freed = gateway.freed.listen();
-        let Some(pause) = hand_out(&gateway, &service) else {
+        let Some(pause) = assign_places(&gateway, &service) else {
             gateway.waiting.with(&service, |line| line.is_served = false);
             return;
         };
@@ -31,7 +31,7 @@
 }
 
 /// Gives places to those who are next while there are any; gets the time until the next look, where somebody waits.
-pub fn hand_out(gateway: &Rc<Gateway>, service: &str) -> Option<Duration> {
+pub fn assign_places(gateway: &Rc<Gateway>, service: &str) -> Option<Duration> {
     loop {
         let now = gateway.now();
         let (request, tried) = gateway.waiting.next(service, now)?;
@@ -69,8 +69,8 @@
 }
 
 /// Keeps why there is no place; gives it back.
-pub fn note_obstacle(gateway: &Gateway, service: &str, reason: NoPlace) -> NoPlace {
-    let obstacle = Obstacle { reason, is_overdue: gateway.is_overdue(service) };
+pub fn record_obstacle(gateway: &Gateway, service: &str, reason: NoPlace) -> NoPlace {
+    let obstacle = Obstacle { reason, is_overdue: gateway.is_outage_overdue(service) };
     gateway.waiting.with(service, |line| line.obstacle = obstacle);
 
     reason
@@ -79,8 +79,8 @@
 /// Gives up those for whom waiting is of no use any more, and holds longer whom that helps.
 fn give_up(gateway: &Rc<Gateway>, service: &str, reason: NoPlace, now: Moment) {
     let before = gateway.waiting.with(service, |line| line.obstacle);
-    note_obstacle(gateway, service, reason);
-    let is_overdue = gateway.is_overdue(service);
+    record_obstacle(gateway, service, reason);
+    let is_overdue = gateway.is_outage_overdue(service);
     let is_same = |o: Obstacle| {
         o.reason.word() == reason.word()
             && o.is_overdue == is_overdue
@@ -104,13 +104,13 @@
             Some(until) => {
                 gateway.waiting.with(service, |line| line.queue.set_give_up(ticket, until));
             }
-            None => answer(gateway, service, ticket, Err(reason), now),
+            None => answer_waiter(gateway, service, ticket, Err(reason), now),
         }
     }
 }
 
 /// Takes one out of the line and answers it.
-pub fn answer(
+pub fn answer_waiter(
     gateway: &Gateway,
     service: &str,
     ticket: Ticket,
--- a/grebedeck/src/gateway/health.rs
+++ b/grebedeck/src/gateway/health.rs
@@ -18,7 +18,7 @@
 impl Gateway {
     /// Gets how many connections may rest to one target of a service: half of this gateway's part of those
     /// that the target takes from all callers together.
-    pub fn max_kept(&self, service: &str) -> usize {
+    pub fn max_idle_connections(&self, service: &str) -> usize {
         let table = self.table();
         let cap = table.service(service).map_or(MAX_KEPT, |s| s.max_connections);
         let part = cap / self.gateways() / 2;
@@ -27,7 +27,7 @@
     }
 
     /// Tells whether some rank has told its load.
-    pub fn hears_ranks(&self) -> bool {
+    pub fn receives_rank_loads(&self) -> bool {
         self.hears_ranks.get()
     }
 
@@ -36,7 +36,7 @@
     }
 
     /// Takes in what the process beside a rank says of it.
-    pub fn note_rank(&self, address: SocketAddr, load: &RankLoad) {
+    pub fn record_rank_load(&self, address: SocketAddr, load: &RankLoad) {
         self.hears_ranks.set(true);
         let found = self.targets.borrow().newest_at(address);
         let Some(target) = found else {
@@ -70,7 +70,7 @@
     /// slow while others are well. All ranks wait in each pass for a slow one that has streams of its own: with
     /// a rank twelve times slower passes took 0.3 s until its eight streams had ended, eight seconds later.
     /// Over 8 seeds of a day with such a rank the service was worth 0.035 more.
-    pub fn should_leave(&self, target: &TargetEntry, pause_limit: Duration) -> bool {
+    pub fn should_move_stream(&self, target: &TargetEntry, pause_limit: Duration) -> bool {
         let now = self.now();
         let is_late = self.pause(&target.service).is_some_and(|pause| pause > pause_limit);
 
@@ -130,21 +130,21 @@
     }
 
     /// Tells whether a service has been out for longer than outages are expected to last.
-    pub fn is_overdue(&self, service: &str) -> bool {
+    pub fn is_outage_overdue(&self, service: &str) -> bool {
         let now = self.now();
 
         self.with_outage(service, |outage| outage.is_overdue(now))
     }
 
     /// Takes the trial of a service that is out, where one is due.
-    pub fn take_trial(&self, service: &str) -> bool {
+    pub fn try_probe_service(&self, service: &str) -> bool {
         let now = self.now();
 
         self.with_outage(service, |outage| outage.try_probe(now))
     }
 
     /// Notes that a target of a service took a request.
-    pub fn note_taken(&self, service: &str) {
+    pub fn record_service_success(&self, service: &str) {
         let now = self.now();
 
         if self.with_outage(service, |outage| outage.record_success(now)) {
@@ -155,7 +155,7 @@
     }
 
     /// Notes that a target of a service with room took no request.
-    pub fn note_not_taken(&self, service: &str, cause: FailureCause) {
+    pub fn record_service_failure(&self, service: &str, cause: FailureCause) {
         let now = self.now();
         let is_out_now = self.with_outage(service, |outage| match cause {
             FailureCause::Refused => outage.record_refusal(),
--- a/grebedeck/src/gateway/hold.rs
+++ b/grebedeck/src/gateway/hold.rs
@@ -71,7 +71,7 @@
     // Who has waited for longer than a refusal is of use is served rather late than not.
     let longest = (request.request.arrived + MAX_HOLD).min(request.deadline);
     let give_up = if is_held_longer { longest } else { give_up };
-    let is_overdue = gateway.is_overdue(&request.service);
+    let is_overdue = gateway.is_outage_overdue(&request.service);
     let is_hopeless = reason.is_hopeless(is_overdue, give_up, now)
         && !waits_for_rest(request, reason, give_up, now);
 
--- a/grebedeck/src/gateway/limits.rs
+++ b/grebedeck/src/gateway/limits.rs
@@ -148,7 +148,7 @@
     }
 
     /// Tells whether a request with a permit may still be sent, and counts it.
-    pub(super) fn use_permit(&self, target: &TargetEntry, permit: Permit) -> bool {
+    pub(super) fn confirm_permit(&self, target: &TargetEntry, permit: Permit) -> bool {
         let is_limited = self.limits.limits.borrow().is_limited(target);
         let is_sent = self.limits.limits.borrow_mut().confirm_send(target, permit, self.now());
 
@@ -188,7 +188,7 @@
     }
 
     /// Forgets limits that ended long ago, and what nobody asks for any more.
-    pub(super) fn forget_limits(&self) {
+    pub(super) fn remove_expired_limits(&self) {
         let now = self.now();
         self.limits.limits.borrow_mut().forget_ended(now);
         self.quota.ledger.borrow_mut().forget_idle(now);
--- a/grebedeck/src/gateway/loads.rs
+++ b/grebedeck/src/gateway/loads.rs
@@ -48,9 +48,11 @@
     bytes: &[u8],
 ) {
     match reader.read(bytes, gateway.now()) {
-        Some(Datagram { from, body: Body::Load(load), .. }) => gateway.note_rank(from, &load),
+        Some(Datagram { from, body: Body::Load(load), .. }) => {
+            gateway.record_rank_load(from, &load)
+        }
         Some(Datagram { from, body: Body::Suspects(message), .. }) => {
-            gossip::take(gateway, socket, from, message).await;
+            gossip::receive(gateway, socket, from, message).await;
         }
         Some(Datagram { from, body: Body::Quota(message), .. }) => {
             quota::receive(gateway, socket, from.ip(), message).await;
@@ -64,7 +66,7 @@
 pub async fn subscribe(gateway: Rc<Gateway>, socket: Rc<UdpSocket>) {
     loop {
         ask(&gateway, &socket).await;
-        let period = if gateway.hears_ranks() { WATCH_PERIOD } else { FIRST_WATCH_PERIOD };
+        let period = if gateway.receives_rank_loads() { WATCH_PERIOD } else { FIRST_WATCH_PERIOD };
         async_std::task::sleep(period).await;
     }
 }
--- a/grebedeck/src/gateway/opened.rs
+++ b/grebedeck/src/gateway/opened.rs
@@ -91,11 +91,11 @@
         }
 
         let target = &self.sent.target;
-        self.gateway.note_answered(self.sent.request);
+        self.gateway.record_request_answered(self.sent.request);
 
         if !self.gateway.is_earlier_start(target) {
             let now = self.gateway.now();
-            let max_kept = self.gateway.max_kept(&target.service);
+            let max_kept = self.gateway.max_idle_connections(&target.service);
             self.gateway.pool.put(target, self.connection, &self.head, max_kept, now);
         }
     }
@@ -109,6 +109,6 @@
     fn note_broken(&self) {
         let Sent { request, target, sent_at } = &self.sent;
 
-        self.gateway.note_broken(request, target, *sent_at);
+        self.gateway.record_broken_attempt(request, target, *sent_at);
     }
 }
--- a/grebedeck/src/gateway/pace.rs
+++ b/grebedeck/src/gateway/pace.rs
@@ -73,7 +73,7 @@
     /// targets have room again.
     pub fn time_to_place(&self, service: &str) -> Duration {
         let now = self.now();
-        let targets = self.bearing(&self.candidates(service), now);
+        let targets = self.at_full_capacity(&self.candidates(service), now);
         let allowed = self.allowed_load(service, &targets, now);
         let load = self.chooser.borrow().mean_load(&targets, now);
         // Where the mean is low enough, the next request that ends makes room.
--- a/grebedeck/src/gateway/peers.rs
+++ b/grebedeck/src/gateway/peers.rs
@@ -70,7 +70,7 @@
         return Page::empty(404);
     }
 
-    let halls = gateway.hall_words();
+    let halls = gateway.hall_statuses();
     let (targets_version, targets) = gateway.with_targets(|t| (t.version(), t.listed()));
     let state = PeerState { site: gateway.site(), halls, targets_version, targets };
 
@@ -84,7 +84,7 @@
 }
 
 /// Publishes this gateway and reads the others from time to time.
-pub async fn follow_list<S: SiteStore>(gateway: Rc<Gateway>, store: S) {
+pub async fn follow_gateways<S: SiteStore>(gateway: Rc<Gateway>, store: S) {
     let settings = gateway.settings();
     let info = GatewayInfo {
         peer_address: settings.peer_address,
@@ -149,7 +149,7 @@
     let addresses = listing.gateways.iter().map(|g| g.info.peer_address);
     let addresses: BTreeSet<SocketAddr> = addresses.collect();
     let is_listed = addresses.contains(&gateway.settings().peer_address);
-    gateway.set_owners(&addresses);
+    gateway.set_cold_gateways(&addresses);
     gateway.set_peers(addresses);
     gateway.set_coordinators(is_listed);
 }
@@ -165,10 +165,10 @@
 }
 
 /// Asks the peers while the store is away, until the task is dropped.
-pub async fn follow_peers(gateway: Rc<Gateway>) {
+pub async fn poll_peers(gateway: Rc<Gateway>) {
     let mut clients: HashMap<SocketAddr, Rc<Client>> = HashMap::new();
     // Until then nobody knows whether the store is away.
-    gateway.relay.wait_for_list().await;
+    gateway.relay.wait_for_gateways().await;
 
     loop {
         sleep(ASK_PERIOD).await;
@@ -177,7 +177,7 @@
             continue;
         }
 
-        for address in some_of(gateway.peers(), PEERS_ASKED, &mut ProcessRandom::default()) {
+        for address in sample_peers(gateway.peers(), PEERS_ASKED, &mut ProcessRandom::default()) {
             let client = clients
                 .entry(address)
                 .or_insert_with(|| Rc::new(Client::new(address, ASK_LIMIT)))
@@ -189,7 +189,7 @@
 }
 
 /// Draws some of the peers.
-pub fn some_of(
+pub fn sample_peers(
     peers: BTreeSet<SocketAddr>,
     count: usize,
     random: &mut impl RandomSource,
@@ -219,9 +219,9 @@
     gateway.counters.peer_answers.add("taken");
 
     // Halls go first: no request is routed by a new configuration before they are known.
-    gateway.take_hall_words(&state.halls);
+    gateway.merge_hall_statuses(&state.halls);
 
-    if let Some(site) = state.site.filter(|_| gateway.operator.knows_halls()) {
+    if let Some(site) = state.site.filter(|_| gateway.operator.has_hall_statuses()) {
         gateway.take_site(&site, "peer");
     }
 
--- a/grebedeck/src/gateway/place.rs
+++ b/grebedeck/src/gateway/place.rs
@@ -67,7 +67,7 @@
             return Some(NoPlace::Evacuated);
         }
 
-        gateway.all_rest(service).map(NoPlace::Resting)
+        gateway.min_retry_after(service).map(NoPlace::Resting)
     }
 
     /// Gets why no target of a service that takes work may get a request.
@@ -148,7 +148,7 @@
     gateway.record_demand(&request.service);
     // First tries, repeats and streams that go on elsewhere all pass here: sent on after each crash, one request takes
     // target after target down, and a group of them is out for as long as it comes.
-    let found = match gateway.cleared(request).await {
+    let found = match gateway.await_clearance(request).await {
         Ok(()) => match entering::enter(gateway, request, tried) {
             Ok(Entered::Placed(place)) => Ok(place),
             Ok(Entered::InLine(line)) => line.answer().await,
@@ -175,7 +175,7 @@
 }
 
 fn no_place(gateway: &Gateway, request: &RoutedRequest, reason: NoPlace, now: Moment) -> Decision {
-    let candidates = gateway.bearing(&gateway.candidates(&request.service), now);
+    let candidates = gateway.at_full_capacity(&gateway.candidates(&request.service), now);
 
     Decision::NoPlace {
         reason,
@@ -210,7 +210,9 @@
     }
 
     match gateway.availability(&request.service) {
-        Availability::Out(left) if !gateway.take_trial(&request.service) => Err(NoPlace::Out(left)),
+        Availability::Out(left) if !gateway.try_probe_service(&request.service) => {
+            Err(NoPlace::Out(left))
+        }
         // That no target may be tried just now does not make the outage shorter.
         Availability::Out(left) => {
             begin(gateway, request, tried, now).map_err(|reason| match reason {
@@ -247,7 +249,7 @@
 ) -> Result<(Vec<Arc<TargetEntry>>, f64), NoPlace> {
     let serving = gateway.serving(&request.service).ok_or(NoPlace::NoTargets)?;
     let candidates = gateway.candidates(&request.service);
-    let bearing = gateway.bearing(&candidates, now);
+    let bearing = gateway.at_full_capacity(&candidates, now);
     // A stream that goes on elsewhere has given up a place for it.
     let per_place = match goes_on(request, tried) {
         true => gateway.settings().load.model,
@@ -273,7 +275,7 @@
     tried: &[TargetId],
     now: Moment,
 ) -> Vec<Arc<TargetEntry>> {
-    let targets = gateway.without_held_back(&gateway.without_resting(targets, now), now);
+    let targets = gateway.within_cold_limit(&gateway.without_retry_after(targets, now), now);
     let targets = gateway.permitted(targets, now);
     let chooser = gateway.chooser.borrow();
     let is_closed = |t: &&Arc<TargetEntry>| gateway.is_group_closed(t, now);
@@ -316,8 +318,8 @@
         last_event_id: request.last_event_id.get(),
     };
     request.trace.add(now, decision);
-    gateway.take_cold(&target, now);
-    gateway.note_sent(&target, now);
+    gateway.record_cold_send(&target, now);
+    gateway.record_sent_to(&target, now);
     gateway.take_prompt(request, now);
 
     Ok((target, permit))
--- a/grebedeck/src/gateway/prompts.rs
+++ b/grebedeck/src/gateway/prompts.rs
@@ -60,6 +60,6 @@
     fn waits_for_ranks(&self, service: &str, now: Moment) -> bool {
         let is_early = self.targets_known_at.get().is_none_or(|at| now < at + FIRST_LOAD_WAIT);
 
-        !self.hears_ranks() && is_early && self.is_model(service)
+        !self.receives_rank_loads() && is_early && self.is_model(service)
     }
 }
--- a/grebedeck/src/gateway/quota.rs
+++ b/grebedeck/src/gateway/quota.rs
@@ -52,7 +52,7 @@
 }
 
 /// Asks coordinators for permits until the task is dropped.
-pub async fn exchange(gateway: Rc<Gateway>, socket: Rc<UdpSocket>) {
+pub async fn exchange_permits(gateway: Rc<Gateway>, socket: Rc<UdpSocket>) {
     loop {
         let changed = gateway.limits.changed.listen();
 
--- a/grebedeck/src/gateway/refusing.rs
+++ b/grebedeck/src/gateway/refusing.rs
@@ -17,18 +17,18 @@
 
 /// Lines a second on targets that refuse: each of some tens of targets begins and ends, and a target that refuses every
 /// other request would write two lines for each.
-pub const REFUSING_LINES_PER_S: f64 = 20.0;
+pub const REFUSAL_LINES_PER_S: f64 = 20.0;
 
 impl Gateway {
     /// Takes in that a target leaves, if the head of an answer says so. It holds whichever request the answer is to.
-    pub(super) fn note_leaving_word(&self, target: &TargetEntry, head: &ResponseHead) {
+    pub(super) fn record_leaving_header(&self, target: &TargetEntry, head: &ResponseHead) {
         if head.headers.all(self.names.leaving).any(says_leaving) {
             self.change_targets(|targets, now| targets.record_leaving(target, now));
         }
     }
 
     /// Takes in what the head of an answer says of the target's load.
-    pub(super) fn note_load_word(
+    pub(super) fn record_load_headers(
         &self,
         target: &TargetEntry,
         head: &ResponseHead,
@@ -41,7 +41,7 @@
         let cold_ms = head.headers.text(self.names.cold_ms).and_then(|text| text.parse().ok());
 
         if let Some(cold_ms) = cold_ms {
-            self.note_cold(&target.id, millis(cold_ms));
+            self.record_cold(&target.id, millis(cold_ms));
         }
 
         if let Some(load) = load {
@@ -55,7 +55,7 @@
     }
 
     /// Takes in a target's refusal. Of one that says that it is full its load tells enough, unless it asks for rest.
-    pub fn note_refusal(&self, target: &TargetEntry, refusal: Refusal, load: Option<TargetLoad>) {
+    pub fn record_refusal(&self, target: &TargetEntry, refusal: Refusal, load: Option<TargetLoad>) {
         if refusal.asked.is_none() && load.is_some_and(|load| !load.has_room()) {
             return self.refusals.borrow_mut().record_full(&target.id);
         }
@@ -67,7 +67,7 @@
         match news {
             RefusalEffect::None => {}
             RefusalEffect::RetryAfterRequested => {
-                let rest_ms = self.rest_left(id, now).as_millis() as u64;
+                let rest_ms = self.retry_after(id, now).as_millis() as u64;
                 self.counters.refusing.add("rests");
 
                 if let Some(left_out) = self.refusing_lines.borrow_mut().take_line(now) {
@@ -86,7 +86,7 @@
     }
 
     /// Notes that a target took a request.
-    pub(super) fn note_target_took(&self, target: &TargetEntry) {
+    pub(super) fn record_accepted(&self, target: &TargetEntry) {
         let now = self.now();
 
         if !self.refusals.borrow_mut().record_accepted(target, now) {
@@ -104,7 +104,7 @@
     }
 
     /// Notes that a request goes to a target, which may be on trial.
-    pub(super) fn note_sent(&self, target: &TargetEntry, now: Moment) {
+    pub(super) fn record_sent_to(&self, target: &TargetEntry, now: Moment) {
         if self.refusals.borrow_mut().record_sent(target, now) {
             self.counters.refusing.add("trial");
         }
@@ -113,25 +113,25 @@
     /// Tells whether a target that was chosen may still get the request. Between the two a connection may have to be
     /// made, and meanwhile the target may have asked for rest, left, or its hall may be evacuated.
     pub(super) fn may_still_send(&self, target: &TargetEntry) -> bool {
-        let rests = !self.rest_left(&target.id, self.now()).is_zero();
+        let rests = !self.retry_after(&target.id, self.now()).is_zero();
 
         !rests && self.with_targets(|targets| targets.takes_work(target))
     }
 
     /// Gets how much longer a target rests.
-    pub fn rest_left(&self, target: &str, now: Moment) -> Duration {
+    pub fn retry_after(&self, target: &str, now: Moment) -> Duration {
         self.refusals.borrow().retry_after(target, now)
     }
 
     /// Gets after which time the first of a service's targets has rested, where all of them rest.
-    pub fn all_rest(&self, service: &str) -> Option<Duration> {
+    pub fn min_retry_after(&self, service: &str) -> Option<Duration> {
         let serving = self.serving(service)?;
 
         self.refusals.borrow().min_retry_after(&serving, self.now())
     }
 
     /// Gets those of a service's targets that do not rest.
-    pub(super) fn without_resting(
+    pub(super) fn without_retry_after(
         &self,
         targets: &Arc<[Arc<TargetEntry>]>,
         now: Moment,
--- a/grebedeck/src/gateway/relay.rs
+++ b/grebedeck/src/gateway/relay.rs
@@ -120,7 +120,7 @@
     }
 
     /// Waits until it is known which other gateways there are, or for as long as that is worth it.
-    pub async fn wait_for_list(&self) {
+    pub async fn wait_for_gateways(&self) {
         let listed = self.listed.listen();
 
         if !self.is_listed.get() {
--- a/grebedeck/src/gateway/service.rs
+++ b/grebedeck/src/gateway/service.rs
@@ -29,12 +29,12 @@
 use super::options::{GatewaySettings, MIN_ATTEMPT};
 use super::pool::Pool;
 use super::quota::QuotaState;
-use super::refusing::REFUSING_LINES_PER_S;
+use super::refusing::REFUSAL_LINES_PER_S;
 use super::relay::RelayState;
 use super::request::RoutedRequest;
-use super::starts::ENTRY_LINES_PER_S;
+use super::starts::UNREADABLE_LINES_PER_S;
 use super::stop::StopState;
-use super::suspects::SUSPECT_LINES_PER_S;
+use super::suspects::CRASH_LINES_PER_S;
 use super::trace::{Decision, End, TRACES_PER_S, Trace};
 use super::tried::Tried;
 use super::waiting::Waiting;
@@ -149,13 +149,13 @@
             patience: RefCell::default(),
             cold: RefCell::default(),
             refusals: RefCell::default(),
-            refusing_lines: RefCell::new(LineBudget::new(REFUSING_LINES_PER_S)),
-            entry_lines: RefCell::new(LineBudget::new(ENTRY_LINES_PER_S)),
+            refusing_lines: RefCell::new(LineBudget::new(REFUSAL_LINES_PER_S)),
+            entry_lines: RefCell::new(LineBudget::new(UNREADABLE_LINES_PER_S)),
             quarantine: RefCell::default(),
             answered: RefCell::default(),
             suspects_changed: Event::new(),
             suspects_news: Event::new(),
-            suspect_lines: RefCell::new(LineBudget::new(SUSPECT_LINES_PER_S)),
+            suspect_lines: RefCell::new(LineBudget::new(CRASH_LINES_PER_S)),
             waiting: Waiting::default(),
         };
         gateway.count_gateways();
@@ -253,7 +253,7 @@
             self.note_list_event(event);
         }
 
-        self.note_heard();
+        self.record_updated_entries();
 
         if !events.is_empty() {
             self.freed.notify(usize::MAX);
@@ -287,7 +287,7 @@
     pub fn is_ready(&self) -> bool {
         self.table.borrow().version() > 0
             && self.targets_known_at.get().is_some()
-            && self.operator.knows_halls()
+            && self.operator.has_hall_statuses()
             && !self.stop.is_stopping()
     }
 
@@ -455,10 +455,10 @@
                 self.chooser.borrow_mut().record_listing(&entry.id, entry.born_ms, entry.slots);
             }
             ListEvent::Restarted(entry) => {
-                self.note_ended(&entry.id);
-                self.note_restart(entry);
+                self.record_target_ended(&entry.id);
+                self.record_restart(entry);
             }
-            ListEvent::Unreadable { id, reason } => self.note_unreadable(id, reason),
+            ListEvent::Unreadable { id, reason } => self.record_unreadable_entry(id, reason),
             ListEvent::Leaving(id) => {
                 log::info!("target leaving", kv: { target = id.as_str(), from = "list" });
             }
@@ -471,7 +471,7 @@
             }
             ListEvent::Removed(id) => {
                 log::info!("target gone", kv: { target = id.as_str() });
-                self.note_ended(id);
+                self.record_target_ended(id);
                 let targets = &self.targets;
                 let keep = |name: &str| targets.try_borrow().is_ok_and(|t| t.get(name).is_some());
                 self.chooser.borrow_mut().retain(keep);
--- a/grebedeck/src/gateway/starts.rs
+++ b/grebedeck/src/gateway/starts.rs
@@ -6,7 +6,7 @@
 use super::service::Gateway;
 
 /// Lines a second on entries that cannot be read: others may write as many as they like.
-pub const ENTRY_LINES_PER_S: f64 = 2.0;
+pub const UNREADABLE_LINES_PER_S: f64 = 2.0;
 
 impl Gateway {
     /// Tells whether an entry is of an earlier start of its target than the one that is listed now.
@@ -15,7 +15,7 @@
     }
 
     /// Forgets what was known of a target's earlier start.
-    pub(super) fn note_restart(&self, entry: &TargetEntry) {
+    pub(super) fn record_restart(&self, entry: &TargetEntry) {
         let before = self.chooser.borrow().start_id(&entry.id);
         log::info!("target restarted", kv: {
             target = entry.id.as_str(), service = entry.service.as_str(),
@@ -30,7 +30,7 @@
     }
 
     /// Tells of an entry that cannot be read.
-    pub(super) fn note_unreadable(&self, id: &str, reason: &str) {
+    pub(super) fn record_unreadable_entry(&self, id: &str, reason: &str) {
         self.counters.starts.add("unreadable");
         let line = self.entry_lines.borrow_mut().take_line(self.now());
 
--- a/grebedeck/src/gateway/stream.rs
+++ b/grebedeck/src/gateway/stream.rs
@@ -234,7 +234,7 @@
             return false;
         };
         let wants_to = !self.stays
-            && self.gateway.should_leave(target, limit)
+            && self.gateway.should_move_stream(target, limit)
             && place::has_place(self.gateway, self.request, self.tried.targets());
 
         if !wants_to {
--- a/grebedeck/src/gateway/suspects.rs
+++ b/grebedeck/src/gateway/suspects.rs
@@ -28,7 +28,7 @@
 use crate::random::ProcessRandom;
 
 /// Lines a second on crashes and on requests that are suspected of them.
-pub const SUSPECT_LINES_PER_S: f64 = 20.0;
+pub const CRASH_LINES_PER_S: f64 = 20.0;
 /// How long a new connection has to stay open for its target to be alive: one that is ending may still accept.
 const STAYS_OPEN: Duration = Duration::from_millis(100);
 /// Other targets that are looked at before a request is decided on: idle ones that have crashed as well show a loss of
@@ -37,7 +37,7 @@
 
 impl Gateway {
     /// Waits until it is known whether a request may be sent, which is at once but for those under crashes.
-    pub(super) async fn cleared(&self, request: &RoutedRequest) -> Result<(), NoPlace> {
+    pub(super) async fn await_clearance(&self, request: &RoutedRequest) -> Result<(), NoPlace> {
         loop {
             let changed = self.suspects_changed.listen();
 
@@ -54,7 +54,7 @@
     }
 
     /// Tells whether a request whose connection stands may be sent, and takes its trial where it needs one.
-    pub(super) fn may_run(&self, request: &RoutedRequest) -> bool {
+    pub(super) fn acquire_clearance(&self, request: &RoutedRequest) -> bool {
         match self.clearance(request) {
             Clearance::Allow => true,
             Clearance::Trial => self.take_quarantine_trial(request),
@@ -118,7 +118,7 @@
     }
 
     /// Notes that an attempt that was sent at `sent_at` broke at a target. One that is leaving ends without a crash.
-    pub(super) fn note_broken(
+    pub(super) fn record_broken_attempt(
         self: &Rc<Self>,
         request: &RoutedRequest,
         target: &Arc<TargetEntry>,
@@ -154,7 +154,7 @@
     }
 
     /// Notes that a request was answered.
-    pub(super) fn note_answered(&self, request: &RoutedRequest) {
+    pub(super) fn record_request_answered(&self, request: &RoutedRequest) {
         if self.stops_others(&request.service) {
             self.answered.borrow_mut().record_answer(request.fingerprint());
         }
@@ -181,7 +181,7 @@
     }
 
     /// Notes that a target has started again or is gone.
-    pub(super) fn note_ended(&self, target: &str) {
+    pub(super) fn record_target_ended(&self, target: &str) {
         let now = self.now();
 
         // Nobody can wait for a decision that is this late, so it is made with the next request.
@@ -192,7 +192,7 @@
     }
 
     /// Takes in what another gateway tells of crashes.
-    pub(super) fn take_report(self: &Rc<Self>, report: &Report) {
+    pub(super) fn apply_crash_report(self: &Rc<Self>, report: &Report) {
         let now = self.now();
         let taken = self.quarantine.borrow_mut().apply_report(report, now);
 
@@ -247,7 +247,7 @@
 
             if let Clearance::Refuse(left) = self.clearance(&request) {
                 let reason = NoPlace::Quarantined(left);
-                handout::answer(self, &service, ticket, Err(reason), now);
+                handout::answer_waiter(self, &service, ticket, Err(reason), now);
             }
         }
     }
@@ -288,7 +288,7 @@
 
     if let Some(connection) = connection {
         // It takes the place of the one that broke.
-        let max_kept = gateway.max_kept(&target.service);
+        let max_kept = gateway.max_idle_connections(&target.service);
         gateway.pool.put_new(&target, connection, max_kept, gateway.now());
     }
 
--- a/grebedeck/src/gateway/watch.rs
+++ b/grebedeck/src/gateway/watch.rs
@@ -50,7 +50,7 @@
 
 /// Follows what operators write until the task is dropped.
 pub async fn follow_operator<S: SiteStore>(gateway: Rc<Gateway>, store: S) {
-    gateway.relay.wait_for_list().await;
+    gateway.relay.wait_for_gateways().await;
     let mut backoff = Backoff::new("configuration");
     let mut after = None;
 
@@ -85,19 +85,19 @@
     let Some(after) = after else {
         let snapshot = store.read_operator().await?;
         let version = snapshot.version;
-        gateway.take_operator_state(snapshot, asked_at)?;
+        gateway.apply_operator_snapshot(snapshot, asked_at)?;
 
         return Ok(Some(version));
     };
 
     match store.watch_operator(after, gateway.settings().store_wait()).await? {
         Watched::Changed { version, changes } => {
-            gateway.take_operator_changes(version, changes);
+            gateway.apply_operator_changes(version, changes);
 
             Ok(Some(version))
         }
         Watched::Quiet => {
-            gateway.note_operator_quiet();
+            gateway.record_operator_unchanged();
 
             Ok(Some(after))
         }
@@ -107,7 +107,7 @@
 
 /// Follows the list of targets until the task is dropped.
 pub async fn follow_targets<S: SiteStore>(gateway: Rc<Gateway>, store: S) {
-    gateway.relay.wait_for_list().await;
+    gateway.relay.wait_for_gateways().await;
     let mut backoff = Backoff::new("targets");
     let mut after = None;
 
--- a/grebedeck/tests/asked.rs
+++ b/grebedeck/tests/asked.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-use grebedeck::gateway::peers::some_of;
+use grebedeck::gateway::peers::sample_peers;
 use grebedeck_core::random::SeededSource;
 
 fn peers(count: u16) -> BTreeSet<SocketAddr> {
@@ -18,7 +18,7 @@
     let mut asked = BTreeSet::new();
 
     for round in 0..150 {
-        let some = some_of(all.clone(), 3, &mut random);
+        let some = sample_peers(all.clone(), 3, &mut random);
         let different: BTreeSet<SocketAddr> = some.iter().copied().collect();
         assert_eq!(different.len(), 3, "round {round}: {some:?}");
         asked.extend(different);
@@ -30,8 +30,8 @@
 #[test]
 fn all_are_asked_where_there_are_few() {
     let mut random = SeededSource::new(5);
-    let some: BTreeSet<SocketAddr> = some_of(peers(2), 3, &mut random).into_iter().collect();
+    let some: BTreeSet<SocketAddr> = sample_peers(peers(2), 3, &mut random).into_iter().collect();
 
     assert_eq!(some, peers(2));
-    assert!(some_of(peers(0), 3, &mut random).is_empty());
+    assert!(sample_peers(peers(0), 3, &mut random).is_empty());
 }
--- a/grebedeck/tests/withdrawn.rs
+++ b/grebedeck/tests/withdrawn.rs
@@ -81,7 +81,7 @@
 fn a_target_that_asked_for_rest_since_it_was_chosen_gets_nothing() {
     let rests = |gateway: &Gateway, target: &TargetEntry| {
         let refusal = Refusal { status: 503, asked: Some(Duration::from_secs(3)) };
-        gateway.note_refusal(target, refusal, None);
+        gateway.record_refusal(target, refusal, None);
     };
 
     assert_eq!(send_after(rests), (FailureCause::Withdrawn, 0));
