--- a/grebedeck/src/gateway/health.rs
+++ b/grebedeck/src/gateway/health.rs
@@ -1,4 +1,7 @@
-//! What a gateway knows of services as a whole: whether they are out, and what their ranks say.
+//! Health of whole services: outages, and the load, speed and group state that ranks report.
+//!
+//! Failures of requests and the reports of groups feed an [`Outage`] per service. A service that is
+//! out gets single probes; other requests wait or are refused.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,17 +19,17 @@
 use crate::rank::message::RankLoad;
 
 impl Gateway {
-    /// Gets how many connections may rest to one target of a service: half of this gateway's part of those
-    /// that the target takes from all callers together.
+    /// Returns the maximum number of idle connections to one target of a service: half of this
+    /// gateway's share of the connections that the target accepts in total.
     pub fn max_idle_connections(&self, service: &str) -> usize {
         let table = self.table();
         let cap = table.service(service).map_or(MAX_KEPT, |s| s.max_connections);
-        let part = cap / self.gateways() / 2;
+        let share = cap / self.gateways() / 2;
 
-        part.clamp(1, MAX_KEPT)
+        share.clamp(1, MAX_KEPT)
     }
 
-    /// Tells whether some rank has told its load.
+    /// Returns whether any rank has reported its load.
     pub fn receives_rank_loads(&self) -> bool {
         self.hears_ranks.get()
     }
@@ -35,7 +38,7 @@
         self.table().service(service).is_some_and(|s| s.engine.is_some())
     }
 
-    /// Takes in what the process beside a rank says of it.
+    /// Records the load, speed and group state that a rank's agent reports.
     pub fn record_rank_load(&self, address: SocketAddr, load: &RankLoad) {
         self.hears_ranks.set(true);
         let found = self.targets.borrow().newest_at(address);
@@ -43,8 +46,8 @@
             return;
         };
 
-        // A late word of an earlier start, or one of a start that the list does not have yet.
-        if target.born_ms.zip(load.born_ms).is_some_and(|(listed, told)| listed != told) {
+        // The report is a late one of an earlier start, or of a start that is not listed yet.
+        if target.born_ms.zip(load.born_ms).is_some_and(|(listed, reported)| listed != reported) {
             self.counters.starts.add("other_start_dropped");
             return;
         }
@@ -55,21 +58,22 @@
             slots: target.slots,
         };
         self.note_load(&target.id, report);
-        self.note_slowdown(&target.id, load.slowdown);
+        self.record_slowdown(&target.id, load.slowdown);
 
         self.groups.borrow_mut().insert(target.id.clone(), load.group);
 
         if load.is_open {
-            self.note_open(&target, load);
-        } else if self.note_closed(&target.service, load) {
+            self.record_group_open(&target, load);
+        } else if self.record_group_closed(&target.service, load) {
             log::warn!("service out", kv: { service = target.service.as_str(), cause = "closed" });
         }
     }
 
-    /// Tells whether a stream should go on at another rank: pauses are too long for it, and its own rank is
-    /// slow while others are well. All ranks wait in each pass for a slow one that has streams of its own: with
-    /// a rank twelve times slower passes took 0.3 s until its eight streams had ended, eight seconds later.
-    /// Over 8 seeds of a day with such a rank the service was worth 0.035 more.
+    /// Returns whether a stream should move to another rank: its pauses exceed the limit, and its
+    /// rank is slow while others are not. In each pass all ranks wait for a slow rank that still
+    /// has streams: with one rank twelve times slower, passes took 0.3 s until its eight streams
+    /// had ended after 8 s. Moving them raised the value of the service on such days by 0.035 (8
+    /// seeds).
     pub fn should_move_stream(&self, target: &TargetEntry, pause_limit: Duration) -> bool {
         let now = self.now();
         let is_late = self.pause(&target.service).is_some_and(|pause| pause > pause_limit);
@@ -85,8 +89,8 @@
         candidates.iter().any(|t| t.id == target.id) && steady.iter().all(|t| t.id != target.id)
     }
 
-    /// Notes how slow a rank says that it is.
-    fn note_slowdown(&self, target: &str, slowdown: f32) {
+    /// Records the slowdown that a rank reports.
+    fn record_slowdown(&self, target: &str, slowdown: f32) {
         let now = self.now();
 
         if self.chooser.borrow_mut().set_slowdown(target, slowdown, now) {
@@ -94,8 +98,8 @@
         }
     }
 
-    /// Notes that a rank says its group makes passes; where the service was out, it is back.
-    fn note_open(&self, target: &TargetEntry, load: &RankLoad) {
+    /// Records a rank's report that its group is open, which ends an outage of the service.
+    fn record_group_open(&self, target: &TargetEntry, load: &RankLoad) {
         let now = self.now();
         let service = target.service.as_str();
 
@@ -106,14 +110,14 @@
         }
     }
 
-    /// Notes that a rank says its group makes no passes; tells whether the service is out since then.
-    fn note_closed(&self, service: &str, load: &RankLoad) -> bool {
+    /// Records a rank's report that its group is closed; returns whether that started an outage.
+    fn record_group_closed(&self, service: &str, load: &RankLoad) -> bool {
         let now = self.now();
 
         self.with_outage(service, |outage| outage.record_closed(load.group, load.formation, now))
     }
 
-    /// Tells whether a target's group has said lately that it makes no passes.
+    /// Returns whether the current report of a target's group is that it is closed.
     pub fn is_group_closed(&self, target: &TargetEntry, now: Moment) -> bool {
         let Some(group) = self.groups.borrow().get(&target.id).copied() else {
             return false;
@@ -122,28 +126,28 @@
         self.with_outage(&target.service, |outage| outage.is_closed(group, now))
     }
 
-    /// Gets whether a service is expected to take requests.
+    /// Returns whether a service is expected to accept requests.
     pub fn availability(&self, service: &str) -> Availability {
         let now = self.now();
 
         self.with_outage(service, |outage| outage.availability(now))
     }
 
-    /// Tells whether a service has been out for longer than outages are expected to last.
+    /// Returns whether an outage of a service has lasted longer than expected.
     pub fn is_outage_overdue(&self, service: &str) -> bool {
         let now = self.now();
 
         self.with_outage(service, |outage| outage.is_overdue(now))
     }
 
-    /// Takes the trial of a service that is out, where one is due.
+    /// Returns whether a request may probe a service that is out; if so, the probe is taken.
     pub fn try_probe_service(&self, service: &str) -> bool {
         let now = self.now();
 
         self.with_outage(service, |outage| outage.try_probe(now))
     }
 
-    /// Notes that a target of a service took a request.
+    /// Records that a target of a service accepted a request.
     pub fn record_service_success(&self, service: &str) {
         let now = self.now();
 
@@ -154,7 +158,7 @@
         }
     }
 
-    /// Notes that a target of a service with room took no request.
+    /// Records that a target of a service with free slots did not accept a request.
     pub fn record_service_failure(&self, service: &str, cause: FailureCause) {
         let now = self.now();
         let is_out_now = self.with_outage(service, |outage| match cause {
@@ -183,7 +187,7 @@
         let table = self.table();
         let form = table.service(service).and_then(|s| s.engine.as_ref()).map(|e| e.form);
         let stall = Duration::from_millis(self.settings().engine_stall_ms);
-        // The first request of a process may find an outage that is as old as the start took.
+        // An outage that the first request finds may have begun when the process was started.
         let expected = (stall + form.unwrap_or_default()).saturating_sub(START_LAG);
 
         OutageOptions {
--- a/grebedeck/src/gateway/quota.rs
+++ b/grebedeck/src/gateway/quota.rs
@@ -1,7 +1,7 @@
-//! The exchange of permits for targets that have a limit.
+//! Exchange of permits for targets with a rate limit that all gateways share.
 //!
-//! While some limit is known and its service has requests, each coordinator of such targets is asked once in a period for all
-//! of them. Nothing is sent otherwise.
+//! While a limit is known and requests need its target, each coordinator of such targets gets one
+//! request for permits per period, for all of its targets together. Otherwise nothing is sent.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap};
@@ -22,52 +22,54 @@
 use crate::random::ProcessRandom;
 use crate::rank::message::{Body, Datagram};
 
-/// Time between two asks. Permits outlast it, and whoever waits for one is still in time after it.
+/// Period of requests for permits. Permits outlive it, and a caller can wait for one that long and
+/// still be served in time.
 const EXCHANGE_PERIOD: Duration = Duration::from_millis(400);
-/// Part of that by which it differs, so that gateways that begin together do not go on together.
-const EXCHANGE_SPREAD: f64 = 0.1;
+/// Fraction of the period by which it varies, so that gateways that start together drift apart.
+const EXCHANGE_JITTER: f64 = 0.1;
 
-/// A gateway's part in giving out permits.
+/// State of the permit exchange, as a client of coordinators and as a coordinator.
 pub struct QuotaState {
     pub(super) ledger: RefCell<QuotaLedger>,
     coordinators: RefCell<Coordinators>,
-    /// Requests without a response yet, by whom was asked and their number, and when that was.
-    asked: RefCell<BTreeMap<(GatewayAddress, u64), Moment>>,
-    /// Coordinators to look for, as others asked this gateway in their place.
+    /// Send times of pending requests, by coordinator and sequence number.
+    pending: RefCell<BTreeMap<(GatewayAddress, u64), Moment>>,
+    /// Coordinators to check, because other gateways requested permits from this one in their
+    /// place; with the demands to send to them.
     suspected: RefCell<BTreeMap<GatewayAddress, Vec<QuotaDemand>>>,
     next_sequence: Cell<u64>,
 }
 
 impl QuotaState {
-    /// Makes the state of a gateway that knows no other.
+    /// Creates the state of a gateway that knows no others.
     pub fn new(own: GatewayAddress) -> Self {
         QuotaState {
             ledger: RefCell::default(),
             coordinators: RefCell::new(Coordinators::new(own)),
-            asked: RefCell::default(),
+            pending: RefCell::default(),
             suspected: RefCell::default(),
             next_sequence: Cell::new(0),
         }
     }
 }
 
-/// Asks coordinators for permits until the task is dropped.
+/// Requests permits from coordinators until the task is dropped.
 pub async fn exchange_permits(gateway: Rc<Gateway>, socket: Rc<UdpSocket>) {
     loop {
         let changed = gateway.limits.changed.listen();
 
         let has_requested = request_permits(&gateway, &socket).await;
 
-        if notify_all(&gateway, &socket).await || has_requested {
-            let spread = EXCHANGE_SPREAD * (2.0 * ProcessRandom::default().unit() - 1.0);
-            sleep(EXCHANGE_PERIOD.mul_f64(1.0 + spread)).await;
+        if notify_limit_changes(&gateway, &socket).await || has_requested {
+            let jitter = EXCHANGE_JITTER * (2.0 * ProcessRandom::default().unit() - 1.0);
+            sleep(EXCHANGE_PERIOD.mul_f64(1.0 + jitter)).await;
         } else {
             changed.await;
         }
     }
 }
 
-/// Takes in a message of another gateway.
+/// Handles a message of another gateway.
 pub async fn receive(
     gateway: &Gateway,
     socket: &UdpSocket,
@@ -86,8 +88,9 @@
     }
 }
 
-/// Tells all other gateways which targets have a limit since then, or none any more; tells whether there were some.
-async fn notify_all(gateway: &Gateway, socket: &UdpSocket) -> bool {
+/// Notifies all other gateways of targets whose limits were set or ended; returns whether there
+/// were any.
+async fn notify_limit_changes(gateway: &Gateway, socket: &UdpSocket) -> bool {
     let changes = gateway.quota.ledger.borrow_mut().drain_changes(gateway.now());
 
     if changes.is_empty() {
@@ -100,15 +103,15 @@
     true
 }
 
-/// Asks each coordinator that there is something to ask of; tells whether there was one.
+/// Requests the permits that are needed from their coordinators; returns whether any were needed.
 async fn request_permits(gateway: &Gateway, socket: &UdpSocket) -> bool {
     let now = gateway.now();
     gateway.expire_requests(now);
     let own = gateway.own_address();
-    let asks = gateway.pending_requests(now);
-    let has_requested = !asks.is_empty();
+    let requests = gateway.next_requests(now);
+    let has_requested = !requests.is_empty();
 
-    for (coordinator, demands) in asks {
+    for (coordinator, demands) in requests {
         if coordinator == own {
             let grants = gateway.grant_quota(own, &demands);
             gateway.apply_grants(&grants, now);
@@ -116,7 +119,7 @@
         }
 
         let sequence = gateway.quota.next_sequence.replace(gateway.quota.next_sequence.get() + 1);
-        gateway.quota.asked.borrow_mut().insert((coordinator, sequence), now);
+        gateway.quota.pending.borrow_mut().insert((coordinator, sequence), now);
         send(gateway, socket, &[coordinator], QuotaMessage::Request { sequence, demands }).await;
     }
 
@@ -129,11 +132,13 @@
     let datagram = Datagram { from, group: None, body: Body::Quota(message) };
     let bytes = match datagram.to_bytes() {
         Ok(bytes) => bytes,
-        Err(error) => return log::error!("quota not sent", kv: { error = error.to_string() }),
+        Err(error) => {
+            return log::error!("quota message not encoded", kv: { error = error.to_string() });
+        }
     };
 
     for address in to {
-        // A gateway that is gone hears nothing; that it does not answer is noticed.
+        // A failure to send shows as a missing response.
         drop(socket.send_to(&bytes, SocketAddr::new(*address, port)).await);
     }
 }
@@ -143,14 +148,15 @@
         self.settings().ip
     }
 
-    /// Takes in the gateways that are known; `is_listed` tells whether the store's list names this one.
+    /// Updates the coordinators from the known gateways; `is_listed` tells whether the store's list
+    /// contains this one.
     pub(super) fn set_coordinators(&self, is_listed: bool) {
         let others = self.peers().into_iter().map(|peer| peer.ip());
 
         self.quota.coordinators.borrow_mut().set_gateways(others, is_listed, self.now());
     }
 
-    /// Gets who gives out permits, for a dump.
+    /// Returns the coordinators of all partitions, for a dump.
     pub(super) fn coordinators_dump(&self, now: Moment) -> serde_json::Value {
         let coordinators = self.quota.coordinators.borrow();
         let partition = |partition: usize| {
@@ -164,11 +170,12 @@
         json!({ "partitions": partitions, "targets": self.quota.ledger.borrow().len() })
     }
 
-    /// Gets what is to be asked, by the gateway to ask.
-    fn pending_requests(&self, now: Moment) -> BTreeMap<GatewayAddress, Vec<QuotaDemand>> {
+    /// Returns the demands to send now, by coordinator.
+    fn next_requests(&self, now: Moment) -> BTreeMap<GatewayAddress, Vec<QuotaDemand>> {
         let targets = self.targets.borrow();
         let demand = self.limits.demand.borrow();
-        // Of the targets of others it only tells what it has heard: those who choose among them want the permits.
+        // For other targets only announced limits are passed on: the gateways that select among
+        // them request the permits.
         let candidates: HashMap<&str, &str> =
             targets.all_candidates().map(|t| (t.id.as_str(), t.service.as_str())).collect();
         let wanted = |id: &str| {
@@ -177,52 +184,54 @@
         };
         let demands = self.limits.limits.borrow_mut().demands(wanted, now);
         let coordinators = self.quota.coordinators.borrow();
-        let mut asks = std::mem::take(&mut *self.quota.suspected.borrow_mut());
+        let mut requests = std::mem::take(&mut *self.quota.suspected.borrow_mut());
 
         for demand in demands {
             let coordinator = coordinators.coordinator(partition_of(&demand.target), now);
-            asks.entry(coordinator).or_default().push(demand);
+            requests.entry(coordinator).or_default().push(demand);
         }
 
-        asks
+        requests
     }
 
-    /// Counts requests that had no response in time.
+    /// Removes requests without a response in time, and records recent ones as timeouts.
     fn expire_requests(&self, now: Moment) {
-        // An answer of so long ago would give nothing any more.
-        let is_over = |at: Moment| now >= at + PERMIT_LIFETIME;
-        let asked = self.quota.asked.borrow().clone();
-
-        for ((gateway, sequence), at) in asked.into_iter().filter(|(_, at)| is_over(*at)) {
-            self.quota.asked.borrow_mut().remove(&(gateway, sequence));
-            // One that was asked so long ago may have answered while this instance stood still.
+        // The permits of a later response would have expired.
+        let is_expired = |at: Moment| now >= at + PERMIT_LIFETIME;
+        let pending = self.quota.pending.borrow().clone();
+
+        for ((gateway, sequence), at) in pending.into_iter().filter(|(_, at)| is_expired(*at)) {
+            self.quota.pending.borrow_mut().remove(&(gateway, sequence));
+            // If the request is much older, this process was suspended and may have missed the
+            // response.
             let is_recent = now < at + PERMIT_LIFETIME + EXCHANGE_PERIOD * 2;
 
             if is_recent && self.quota.coordinators.borrow_mut().record_timeout(gateway, now) {
-                log::warn!("coordinator silent", kv: { gateway = gateway.to_string() });
+                log::warn!("coordinator does not respond", kv: { gateway = gateway.to_string() });
             }
         }
     }
 
-    /// Answers a request for permits.
+    /// Grants permits for a request of a gateway.
     fn grant_quota(&self, from: GatewayAddress, demands: &[QuotaDemand]) -> Vec<QuotaGrant> {
         let now = self.now();
         let coordinators = self.quota.coordinators.borrow();
-        let part = |target: &str| coordinators.limit_fraction(partition_of(target), now);
+        let fraction = |target: &str| coordinators.limit_fraction(partition_of(target), now);
         let mut ledger = self.quota.ledger.borrow_mut();
 
         for demand in demands {
             let partition = partition_of(&demand.target);
             let first = coordinators.coordinator(partition, now);
 
-            // Whoever asks may have found the first one silent; whether it is so is found out by asking it as well.
+            // The other gateway may have found the first coordinator unresponsive. This one checks
+            // that by sending it a request as well.
             if first != self.own_address() && from != self.own_address() {
                 self.quota.suspected.borrow_mut().entry(first).or_default();
                 self.limits.changed.notify(usize::MAX);
             }
         }
 
-        let grants = ledger.grant(from, demands, part, now, &mut ProcessRandom::default());
+        let grants = ledger.grant(from, demands, fraction, now, &mut ProcessRandom::default());
 
         if ledger.has_changes() {
             self.limits.changed.notify(usize::MAX);
@@ -233,18 +242,18 @@
 
     fn apply_response(&self, from: GatewayAddress, sequence: u64, grants: &[QuotaGrant]) {
         if self.quota.coordinators.borrow_mut().record_answer(from, self.now()) {
-            log::info!("coordinator answers again", kv: { gateway = from.to_string() });
+            log::info!("coordinator responds again", kv: { gateway = from.to_string() });
         }
 
-        // A response that comes twice, or to a request that was given up, gives nothing.
-        let asked_at = self.quota.asked.borrow_mut().remove(&(from, sequence));
+        // A duplicate response, or one to an expired request, grants nothing.
+        let requested_at = self.quota.pending.borrow_mut().remove(&(from, sequence));
 
-        if let Some(asked_at) = asked_at {
-            self.apply_grants(grants, asked_at);
+        if let Some(requested_at) = requested_at {
+            self.apply_grants(grants, requested_at);
         }
     }
 
-    fn apply_grants(&self, grants: &[QuotaGrant], asked_at: Moment) {
+    fn apply_grants(&self, grants: &[QuotaGrant], requested_at: Moment) {
         let now = self.now();
         let mut permits = 0;
 
@@ -255,7 +264,7 @@
             };
             permits += grant.permits;
             let mut limits = self.limits.limits.borrow_mut();
-            let change = limits.apply(&target, grant, PERMIT_LIFETIME, asked_at, now);
+            let change = limits.apply(&target, grant, PERMIT_LIFETIME, requested_at, now);
             drop(limits);
             self.report_limit_change(&target, change, "gateway");
         }
--- a/grebedeck/src/gateway/refusing.rs
+++ b/grebedeck/src/gateway/refusing.rs
@@ -1,4 +1,8 @@
-//! What targets say of themselves in their answers: their load, that they are cold, want rest or leave.
+//! State that targets report in the heads of their responses: load, remaining cold time, refusal
+//! with or without a requested delay, and leaving.
+//!
+//! A target that refuses although it has slots free is sent no requests until its requested delay
+//! or a backoff has passed; then it is probed with single requests.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,19 +19,19 @@
 use super::tried::{FailureCause, Refusal};
 use crate::settings::millis;
 
-/// Lines a second on targets that refuse: each of some tens of targets begins and ends, and a target that refuses every
-/// other request would write two lines for each.
+/// Rate limit of log lines about refusing targets. Tens of targets may start and stop refusing, and
+/// a target that refuses every other request would cause two lines for each.
 pub const REFUSAL_LINES_PER_S: f64 = 20.0;
 
 impl Gateway {
-    /// Takes in that a target leaves, if the head of an answer says so. It holds whichever request the answer is to.
+    /// Marks a target as leaving if the head of a response says so, whichever request it answers.
     pub(super) fn record_leaving_header(&self, target: &TargetEntry, head: &ResponseHead) {
         if head.headers.all(self.names.leaving).any(says_leaving) {
             self.change_targets(|targets, now| targets.record_leaving(target, now));
         }
     }
 
-    /// Takes in what the head of an answer says of the target's load.
+    /// Records the target's load and remaining cold time from the head of a response.
     pub(super) fn record_load_headers(
         &self,
         target: &TargetEntry,
@@ -54,24 +58,27 @@
         }
     }
 
-    /// Takes in a target's refusal. Of one that says that it is full its load tells enough, unless it asks for rest.
+    /// Records a target's refusal. A target that reports itself full needs no backoff, as its load
+    /// already keeps requests away, unless it requests a delay.
     pub fn record_refusal(&self, target: &TargetEntry, refusal: Refusal, load: Option<TargetLoad>) {
         if refusal.asked.is_none() && load.is_some_and(|load| !load.has_room()) {
             return self.refusals.borrow_mut().record_full(&target.id);
         }
 
         let now = self.now();
-        let news = self.refusals.borrow_mut().record_refusal(target, refusal.asked, now);
+        let effect = self.refusals.borrow_mut().record_refusal(target, refusal.asked, now);
         let (id, status) = (target.id.as_str(), refusal.status);
 
-        match news {
+        match effect {
             RefusalEffect::None => {}
             RefusalEffect::RetryAfterRequested => {
                 let rest_ms = self.retry_after(id, now).as_millis() as u64;
                 self.counters.refusing.add("rests");
 
                 if let Some(left_out) = self.refusing_lines.borrow_mut().take_line(now) {
-                    log::info!("target rests", kv: { target = id, status, rest_ms, left_out });
+                    log::info!("target requested a delay", kv: {
+                        target = id, status, rest_ms, left_out,
+                    });
                 }
             }
             RefusalEffect::BackedOff(pause) => {
@@ -79,13 +86,15 @@
                 self.counters.refusing.add("paused");
 
                 if let Some(left_out) = self.refusing_lines.borrow_mut().take_line(now) {
-                    log::info!("target paused", kv: { target = id, status, pause_ms, left_out });
+                    log::info!("target backed off after refusals", kv: {
+                        target = id, status, pause_ms, left_out,
+                    });
                 }
             }
         }
     }
 
-    /// Notes that a target took a request.
+    /// Records that a target accepted a request.
     pub(super) fn record_accepted(&self, target: &TargetEntry) {
         let now = self.now();
 
@@ -97,40 +106,41 @@
 
         if let Some(left_out) = self.refusing_lines.borrow_mut().take_line(now) {
             let target = target.id.as_str();
-            log::info!("target takes requests again", kv: { target, left_out });
+            log::info!("target accepts requests again", kv: { target, left_out });
         }
 
         self.freed.notify(usize::MAX);
     }
 
-    /// Notes that a request goes to a target, which may be on trial.
+    /// Records that a request is sent to a target, which is a probe if the target refused before.
     pub(super) fn record_sent_to(&self, target: &TargetEntry, now: Moment) {
         if self.refusals.borrow_mut().record_sent(target, now) {
             self.counters.refusing.add("trial");
         }
     }
 
-    /// Tells whether a target that was chosen may still get the request. Between the two a connection may have to be
-    /// made, and meanwhile the target may have asked for rest, left, or its hall may be evacuated.
+    /// Returns whether a request may still be sent to its selected target. While a connection was
+    /// established, the target may have requested a delay or left, or its hall may have been
+    /// evacuated.
     pub(super) fn may_still_send(&self, target: &TargetEntry) -> bool {
-        let rests = !self.retry_after(&target.id, self.now()).is_zero();
+        let is_delayed = !self.retry_after(&target.id, self.now()).is_zero();
 
-        !rests && self.with_targets(|targets| targets.takes_work(target))
+        !is_delayed && self.with_targets(|targets| targets.takes_work(target))
     }
 
-    /// Gets how much longer a target rests.
+    /// Returns the remaining delay that a target requested.
     pub fn retry_after(&self, target: &str, now: Moment) -> Duration {
         self.refusals.borrow().retry_after(target, now)
     }
 
-    /// Gets after which time the first of a service's targets has rested, where all of them rest.
+    /// Returns the shortest remaining delay of a service's targets if all of them requested one.
     pub fn min_retry_after(&self, service: &str) -> Option<Duration> {
         let serving = self.serving(service)?;
 
         self.refusals.borrow().min_retry_after(&serving, self.now())
     }
 
-    /// Gets those of a service's targets that do not rest.
+    /// Returns the targets without a remaining requested delay.
     pub(super) fn without_retry_after(
         &self,
         targets: &Arc<[Arc<TargetEntry>]>,
@@ -140,7 +150,7 @@
     }
 }
 
-/// Tells from a refusal's load whether the target is full.
+/// Determines the cause of a refusal: the target is full unless its load shows free slots.
 pub(super) fn refusal_cause(load: Option<TargetLoad>) -> FailureCause {
     match load {
         Some(load) if load.has_room() => FailureCause::Refused,
--- a/grebedeck/src/gateway/suspects.rs
+++ b/grebedeck/src/gateway/suspects.rs
@@ -1,9 +1,11 @@
-//! Requests under which targets crash, as a gateway meets them.
+//! Detection and quarantine of requests that crash targets.
 //!
-//! Where an attempt breaks, the target is looked at; whether that was a crash, whom it speaks against and who is not sent any
-//! more is [`Quarantine`](grebedeck_routing::Quarantine)'s to decide. A request is asked for at three places: before it
-//! looks for a place, which repeats and streams that go on elsewhere do as well; in line, as soon as it is decided on;
-//! and when its connection stands.
+//! When an attempt breaks, the gateway probes the target.
+//! [`Quarantine`](grebedeck_routing::Quarantine) decides whether that was a crash, which requests
+//! are suspected of it, and which are quarantined. A request is checked three times: before it
+//! looks for a place on a target (including retries and resumed streams), while it waits in the
+//! queue, as soon as a decision on it is made, and once its connection to the target is
+//! established.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -27,16 +29,18 @@
 use crate::liveness;
 use crate::random::ProcessRandom;
 
-/// Lines a second on crashes and on requests that are suspected of them.
+/// Rate limit of log lines about crashed targets.
 pub const CRASH_LINES_PER_S: f64 = 20.0;
-/// How long a new connection has to stay open for its target to be alive: one that is ending may still accept.
-const STAYS_OPEN: Duration = Duration::from_millis(100);
-/// Other targets that are looked at before a request is decided on: idle ones that have crashed as well show a loss of
-/// power that no request of this process tells of.
-const NEIGHBOURS: usize = 3;
+/// Time for which a new connection must stay open for its target to count as alive: a target that
+/// is shutting down may still accept connections.
+const MIN_OPEN_TIME: Duration = Duration::from_millis(100);
+/// Maximum number of other targets to probe before a decision on a request: if idle targets have
+/// crashed too, the cause is an event such as a power loss, not the request.
+const MAX_NEIGHBOUR_PROBES: usize = 3;
 
 impl Gateway {
-    /// Waits until it is known whether a request may be sent, which is at once but for those under crashes.
+    /// Waits until it is decided whether a request may be sent; immediate unless crashes are
+    /// suspected.
     pub(super) async fn await_clearance(&self, request: &RoutedRequest) -> Result<(), NoPlace> {
         loop {
             let changed = self.suspects_changed.listen();
@@ -46,14 +50,15 @@
                 Clearance::Refuse(left) => return Err(NoPlace::Quarantined(left)),
                 Clearance::Wait(wait) => {
                     self.counters.quarantine.add("held");
-                    // Whichever comes first, it is asked again.
+                    // Either way, the clearance is checked again.
                     let _ = timeout(wait, changed).await;
                 }
             }
         }
     }
 
-    /// Tells whether a request whose connection stands may be sent, and takes its trial where it needs one.
+    /// Returns whether a request with an established connection may be sent; takes its trial if it
+    /// needs one.
     pub(super) fn acquire_clearance(&self, request: &RoutedRequest) -> bool {
         match self.clearance(request) {
             Clearance::Allow => true,
@@ -63,30 +68,32 @@
     }
 
     fn clearance(&self, request: &RoutedRequest) -> Clearance {
-        // Without any suspects a request costs nothing here, not even its fingerprint.
+        // Without suspects no fingerprint is computed, so that the common case is free.
         if self.quarantine.borrow().is_idle() {
             return Clearance::Allow;
         }
 
-        self.decide();
+        self.decide_quarantine();
         let clearance = self.quarantine.borrow_mut().clearance(request.fingerprint(), self.now());
 
         match clearance {
-            Clearance::Allow if self.stops_others(&request.service) => self.caution(request),
+            Clearance::Allow if self.crash_stops_others(&request.service) => {
+                self.cooldown_clearance(request)
+            }
             clearance => clearance,
         }
     }
 
-    /// Tells whether the crash of one of a service's targets stops others.
-    fn stops_others(&self, service: &str) -> bool {
+    /// Returns whether a crash of one target of a service stops others, as ranks of a group do.
+    fn crash_stops_others(&self, service: &str) -> bool {
         let table = self.table();
         let engine = table.service(service).and_then(|s| s.engine.as_ref());
 
         engine.is_some_and(|engine| !engine.form.is_zero())
     }
 
-    /// Tells whether a request may be sent where one crash more would stop a whole group.
-    fn caution(&self, request: &RoutedRequest) -> Clearance {
+    /// Checks a request where one more crash would stop a whole group.
+    fn cooldown_clearance(&self, request: &RoutedRequest) -> Clearance {
         let (fingerprint, now) = (request.fingerprint(), self.now());
         let quarantine = self.quarantine.borrow();
         let suspicion = quarantine.suspicion(fingerprint);
@@ -113,11 +120,12 @@
 
         self.counters.quarantine.add("trial");
         log::info!("quarantine trial", kv: { fingerprint = to_hex(fingerprint) });
-        self.tell_news();
+        self.notify_updates();
         true
     }
 
-    /// Notes that an attempt that was sent at `sent_at` broke at a target. One that is leaving ends without a crash.
+    /// Records that an attempt, sent at `sent_at`, broke on a target. Ignored if the target is
+    /// leaving, as it then ends without a crash.
     pub(super) fn record_broken_attempt(
         self: &Rc<Self>,
         request: &RoutedRequest,
@@ -142,20 +150,20 @@
 
         match start {
             Some(start) => {
-                let look = look_at(self.clone(), target.clone(), start);
-                self.tasks.spawn(look).detach();
+                let probe = probe_target(self.clone(), target.clone(), start);
+                self.tasks.spawn(probe).detach();
             }
-            // The target is looked at, or known to have crashed.
+            // The target is already being probed or known to have crashed.
             None => {
-                self.tell_news();
-                self.decide_later();
+                self.notify_updates();
+                self.schedule_decision();
             }
         }
     }
 
-    /// Notes that a request was answered.
+    /// Records that a request was answered, which clears it of suspicion.
     pub(super) fn record_request_answered(&self, request: &RoutedRequest) {
-        if self.stops_others(&request.service) {
+        if self.crash_stops_others(&request.service) {
             self.answered.borrow_mut().record_answer(request.fingerprint());
         }
 
@@ -167,75 +175,78 @@
 
         if self.quarantine.borrow_mut().record_answer(fingerprint, self.now()) {
             self.counters.quarantine.add("released");
-            log::info!("quarantine released", kv: { fingerprint = to_hex(fingerprint), cause = "answered" });
+            log::info!("quarantine released", kv: {
+                fingerprint = to_hex(fingerprint), cause = "answered",
+            });
         }
 
-        self.tell_news();
+        self.notify_updates();
     }
 
-    /// Has other gateways told, and the store, where there is something to tell.
-    fn tell_news(&self) {
+    /// Wakes the tasks that publish updates to other gateways and to the store, if there are any.
+    fn notify_updates(&self) {
         if self.quarantine.borrow().has_updates() {
             self.suspects_news.notify(usize::MAX);
         }
     }
 
-    /// Notes that a target has started again or is gone.
+    /// Records that a target has restarted or is gone.
     pub(super) fn record_target_ended(&self, target: &str) {
         let now = self.now();
 
-        // Nobody can wait for a decision that is this late, so it is made with the next request.
+        // No request waits for so late a decision, so it is made at the next request.
         if self.quarantine.borrow_mut().record_restart(target, now) {
             self.counters.quarantine.add("crash");
-            self.tell_news();
+            self.notify_updates();
         }
     }
 
-    /// Takes in what another gateway tells of crashes.
+    /// Applies another gateway's report of crashes and quarantined requests.
     pub(super) fn apply_crash_report(self: &Rc<Self>, report: &Report) {
         let now = self.now();
-        let taken = self.quarantine.borrow_mut().apply_report(report, now);
+        let added = self.quarantine.borrow_mut().apply_report(report, now);
 
-        for fingerprint in taken {
-            self.note_quarantined(fingerprint, 0, "gateway");
+        for fingerprint in added {
+            self.record_quarantined(fingerprint, 0, "gateway");
         }
 
         self.suspects_changed.notify(usize::MAX);
-        self.decide_later();
+        self.schedule_decision();
     }
 
-    /// Takes in that a request was in quarantine before this process started.
+    /// Restores a request that was in quarantine before this process started.
     pub fn restore_quarantined(&self, fingerprint: Fingerprint, trials: u32) {
         self.quarantine.borrow_mut().restore(fingerprint, trials, self.now());
-        self.note_quarantined(fingerprint, 0, "store");
+        self.record_quarantined(fingerprint, 0, "store");
     }
 
-    /// Decides on requests as soon as that can be done.
-    fn decide_later(self: &Rc<Self>) {
+    /// Schedules the next decision for the time at which it is due.
+    fn schedule_decision(self: &Rc<Self>) {
         let Some(left) = self.quarantine.borrow().next_decision(self.now()) else {
             return;
         };
         let gateway = self.clone();
-        let deciding = async move {
+        let decision = async move {
             async_std::task::sleep(left).await;
-            gateway.decide();
+            gateway.decide_quarantine();
         };
 
-        self.tasks.spawn(deciding).detach();
+        self.tasks.spawn(decision).detach();
     }
 
-    fn decide(&self) {
+    fn decide_quarantine(&self) {
         let decided = self.quarantine.borrow_mut().decide(self.now());
 
         for (fingerprint, crashes) in decided {
-            self.note_quarantined(fingerprint, crashes, "own");
-            self.tell_news();
+            self.record_quarantined(fingerprint, crashes, "own");
+            self.notify_updates();
             self.suspects_changed.notify(usize::MAX);
         }
     }
 
-    /// Notes that a request is not sent any more, and tells those of it that wait for a place.
-    fn note_quarantined(&self, fingerprint: Fingerprint, crashes: usize, from: &'static str) {
+    /// Records that a request was quarantined, and refuses those of its copies that wait for a
+    /// place.
+    fn record_quarantined(&self, fingerprint: Fingerprint, crashes: usize, from: &'static str) {
         self.counters.quarantine.add("quarantined");
         log::warn!("request quarantined", kv: { fingerprint = to_hex(fingerprint), crashes, from });
         let now = self.now();
@@ -252,22 +263,22 @@
         }
     }
 
-    fn note_finding(
+    fn record_probe(
         self: &Rc<Self>,
         target: &TargetEntry,
         start: &TargetStart,
-        finding: ProbeResult,
+        result: ProbeResult,
     ) {
         let now = self.now();
-        let is_open = self.quarantine.borrow_mut().record_probe(start, finding, now);
+        let is_decision_due = self.quarantine.borrow_mut().record_probe(start, result, now);
         self.suspects_changed.notify(usize::MAX);
 
-        if finding != ProbeResult::Crashed {
+        if result != ProbeResult::Crashed {
             return self.counters.quarantine.add("no_crash");
         }
 
         self.counters.quarantine.add("crash");
-        self.tell_news();
+        self.notify_updates();
 
         if let Some(left_out) = self.suspect_lines.borrow_mut().take_line(now) {
             let (target, service) = (target.id.as_str(), target.service.as_str());
@@ -275,28 +286,28 @@
             log::warn!("target crashed", kv: { target, service, born_ms, is_next, left_out });
         }
 
-        if is_open {
-            self.decide_later();
-            self.tasks.spawn(look_at_neighbours(self.clone(), target.service.clone())).detach();
+        if is_decision_due {
+            self.schedule_decision();
+            self.tasks.spawn(probe_neighbours(self.clone(), target.service.clone())).detach();
         }
     }
 }
 
-/// Finds out whether a target on which an attempt broke has crashed.
-async fn look_at(gateway: Rc<Gateway>, target: Arc<TargetEntry>, start: TargetStart) {
-    let (finding, connection) = liveness::look(target.address, CONNECT_LIMIT, STAYS_OPEN).await;
+/// Probes a target on which an attempt broke, to find out whether it has crashed.
+async fn probe_target(gateway: Rc<Gateway>, target: Arc<TargetEntry>, start: TargetStart) {
+    let (result, connection) = liveness::look(target.address, CONNECT_LIMIT, MIN_OPEN_TIME).await;
 
     if let Some(connection) = connection {
-        // It takes the place of the one that broke.
-        let max_kept = gateway.max_idle_connections(&target.service);
-        gateway.pool.put_new(&target, connection, max_kept, gateway.now());
+        // The probe's connection replaces the one that broke.
+        let max_idle = gateway.max_idle_connections(&target.service);
+        gateway.pool.put_new(&target, connection, max_idle, gateway.now());
     }
 
-    gateway.note_finding(&target, &start, finding);
+    gateway.record_probe(&target, &start, result);
 }
 
-/// Looks at some other targets of a service, whether they have crashed in the same moment.
-async fn look_at_neighbours(gateway: Rc<Gateway>, service: String) {
+/// Probes some other targets of a service, to find out whether they crashed at the same time.
+async fn probe_neighbours(gateway: Rc<Gateway>, service: String) {
     let serving = gateway.serving(&service).unwrap_or_default();
     let now = gateway.now();
     let mut others: Vec<&Arc<TargetEntry>> = serving
@@ -304,14 +315,14 @@
         .filter(|target| !gateway.quarantine.borrow().crashed_recently(&target.id, now))
         .collect();
 
-    for _ in 0..NEIGHBOURS.min(others.len()) {
+    for _ in 0..MAX_NEIGHBOUR_PROBES.min(others.len()) {
         let target = others.swap_remove(ProcessRandom::default().below(others.len()));
         let connected = Connection::connect(target.address, CONNECT_LIMIT).await;
 
         if connected.is_err_and(|error| error.is_refused()) {
             let start = TargetStart::listed(&target.id, target.born_ms);
             gateway.quarantine.borrow_mut().record_crash(&start, [], gateway.now());
-            gateway.tell_news();
+            gateway.notify_updates();
         }
     }
 }
