--- a/grebedeck/src/gateway/cold.rs
+++ b/grebedeck/src/gateway/cold.rs
@@ -1,4 +1,7 @@
-//! Targets that are cold: what this gateway hears of them, and whom it passes over.
+//! Cold targets: those that started recently and do not have their full capacity yet.
+//!
+//! Targets report their remaining cold time; a target that may have restarted counts as cold until
+//! it reports otherwise. Requests to cold targets are rate-limited across all gateways.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -11,34 +14,34 @@
 use super::service::Gateway;
 
 impl Gateway {
-    /// Takes in the gateways that the store names, this one included where its row is there.
+    /// Sets the gateways that the store lists, which includes this one if its row is there.
     pub fn set_cold_gateways(&self, listed: &BTreeSet<SocketAddr>) {
         let own = self.settings().peer_address;
 
         self.cold.borrow_mut().set_gateways(own, listed, self.now());
     }
 
-    /// Takes in what a target says of how much longer it is cold.
+    /// Records the remaining cold time that a target reports.
     pub fn record_cold(&self, target: &str, remaining: Duration) {
         self.cold.borrow_mut().record_report(target, remaining, self.now());
     }
 
-    /// Takes targets for cold at least until a moment, unless they say otherwise later.
+    /// Assumes that a target is cold at least until a moment, unless it reports otherwise later.
     pub fn set_cold_until(&self, target: &str, until: Moment) {
         self.cold.borrow_mut().set_cold_until(target, until, self.now());
     }
 
-    /// Takes in what entries that were written anew say.
+    /// Records the remaining cold times of updated entries of the target list.
     pub(super) fn record_updated_entries(&self) {
-        let heard = self.targets.borrow_mut().take_updated();
+        let updated = self.targets.borrow_mut().take_updated();
 
-        for entry in heard {
+        for entry in updated {
             self.record_cold(&entry.id, entry.cold);
         }
     }
 
-    /// Takes a target that nobody listens for as starting: what answers there next is another start, which is cold
-    /// before the list has it.
+    /// Assumes that a target that refuses connections restarts: the next start at its address is
+    /// cold before the list contains it.
     pub(super) fn assume_restart(&self, target: &TargetEntry) {
         let table = self.table();
         let cold_time = table.service(&target.service).map_or(Duration::ZERO, |s| s.cold_time);
@@ -48,21 +51,22 @@
         }
     }
 
-    /// Takes all targets of a hall that was taken back as starting: they may have turned cold without a word.
+    /// Assumes that all targets of a reopened hall have restarted: they may have become cold
+    /// without a report.
     pub(super) fn assume_restarts_in(&self, hall: &str) {
-        let there: Vec<Arc<TargetEntry>> =
+        let targets: Vec<Arc<TargetEntry>> =
             self.with_targets(|list| list.all().filter(|t| t.hall == hall).cloned().collect());
 
-        there.iter().for_each(|target| self.assume_restart(target));
+        targets.iter().for_each(|target| self.assume_restart(target));
     }
 
-    /// Gets how much longer a target is cold.
+    /// Returns the remaining cold time of a target.
     pub fn cold_remaining(&self, target: &str) -> Duration {
         self.cold.borrow().remaining(target, self.now())
     }
 
-    /// Gets those of a service's targets that bear what they usually do: neither cold nor with a limit, as far as there are
-    /// such.
+    /// Returns the targets with their full capacity, neither cold nor limited. Where all are cold
+    /// or all are limited, that restriction is ignored.
     pub fn at_full_capacity(
         &self,
         targets: &Arc<[Arc<TargetEntry>]>,
@@ -71,8 +75,7 @@
         self.without_limited(self.without_cold(targets, now))
     }
 
-    /// Gets those of a service's targets that are not cold, which bear what they usually do; all of them where all
-    /// are cold.
+    /// Returns the targets that are not cold, which have their full capacity; all if all are cold.
     pub fn without_cold(
         &self,
         targets: &Arc<[Arc<TargetEntry>]>,
@@ -88,7 +91,7 @@
         targets.iter().filter(|t| !is_cold(t)).cloned().collect()
     }
 
-    /// Gets those of a service's targets to which this gateway may send a request now.
+    /// Returns the targets without the cold ones whose rate limit is used up for now.
     pub fn within_cold_limit(
         &self,
         targets: &Arc<[Arc<TargetEntry>]>,
@@ -105,16 +108,17 @@
 
             self.cold.borrow_mut().may_send(&t.id, cold_per_s, now)
         };
-        let left: Arc<[Arc<TargetEntry>]> = targets.iter().filter(may_send).cloned().collect();
+        let permitted: Arc<[Arc<TargetEntry>]> = targets.iter().filter(may_send).cloned().collect();
 
-        if left.len() < targets.len() {
+        if permitted.len() < targets.len() {
             self.counters.cold.add("held_back");
         }
 
-        left
+        permitted
     }
 
-    /// Notes that a request goes to a target, which may be cold.
+    /// Records that a request is sent to a target, which counts against its rate limit if it is
+    /// cold.
     pub(super) fn record_cold_send(&self, target: &TargetEntry, now: Moment) {
         let cold_per_s = self.cold_per_s(&target.service);
         let mut cold = self.cold.borrow_mut();
@@ -125,7 +129,7 @@
         }
     }
 
-    /// Forgets targets that have not been cold for a while.
+    /// Removes targets that have not been cold for a while.
     pub(super) fn remove_warm(&self) {
         self.cold.borrow_mut().remove_expired(self.now());
     }
--- a/grebedeck/src/gateway/limits.rs
+++ b/grebedeck/src/gateway/limits.rs
@@ -1,4 +1,8 @@
-//! Limits that targets name for the requests of all gateways together: what is heard of them, and who may be sent to.
+//! Rate limits that targets announce for the requests of all gateways together.
+//!
+//! The gateway records announced limits, measures the demand for limited targets, and sends a
+//! request to such a target only with a permit, so that the gateways together stay within the
+//! limit.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -17,18 +21,18 @@
 
 use super::service::Gateway;
 
-/// Lines a second on limits of targets: each of some tens of targets begins and ends one, and a target that changes its
-/// limit with each answer would write a line for each.
+/// Rate limit of log lines about limits. Tens of targets may set and end limits, and a target that
+/// changes its limit with each response would cause a line for each.
 const LIMIT_LINES_PER_S: f64 = 20.0;
-/// Longest time after which a caller is told to come back for a permit.
+/// Maximum retry delay that a caller without a permit is given.
 const MAX_PERMIT_WAIT: Duration = Duration::from_secs(60);
 
-/// What a gateway knows of limits.
+/// Known limits and the demand for limited targets.
 pub struct LimitState {
     pub(super) limits: RefCell<Limits>,
-    /// Requests for services that have targets with limits.
+    /// Demand for services with limited targets.
     pub(super) demand: RefCell<HashMap<ServiceName, DemandCounter>>,
-    /// Told when there may be something to ask coordinators.
+    /// Notified when permits may have to be requested from coordinators.
     pub(super) changed: Event,
     lines: RefCell<LineBudget>,
 }
@@ -45,14 +49,14 @@
 }
 
 impl LimitState {
-    /// Forgets targets that are gone.
-    pub fn retain(&self, is_there: impl Fn(&str) -> bool) {
-        self.limits.borrow_mut().retain(is_there);
+    /// Removes the limits of targets that are gone.
+    pub fn retain(&self, keep: impl Fn(&str) -> bool) {
+        self.limits.borrow_mut().retain(keep);
     }
 }
 
 impl Gateway {
-    /// Takes in what the head of an answer says of the target's limit.
+    /// Records the limit that the head of a response announces, or that it announces none.
     pub fn record_limit(
         &self,
         target: &TargetEntry,
@@ -64,10 +68,11 @@
             return;
         }
 
-        let named = announced_limit(head.headers.all(self.names.limit));
-        let is_good = verdict == Verdict::Pass && head.is_success();
+        let announced = announced_limit(head.headers.all(self.names.limit));
+        let is_success = verdict == Verdict::Pass && head.is_success();
         let now = self.now();
-        let change = self.limits.limits.borrow_mut().observe(target, named, is_good, sent_at, now);
+        let change =
+            self.limits.limits.borrow_mut().observe(target, announced, is_success, sent_at, now);
 
         self.report_limit_change(target, change, "target");
     }
@@ -78,23 +83,25 @@
         change: LimitChange,
         from: &str,
     ) {
-        let (word, per_s) = match change {
+        let (label, per_s) = match change {
             LimitChange::None => return,
             LimitChange::Set(per_s) => ("set", per_s),
             LimitChange::Ended => ("ended", 0.0),
             LimitChange::Unreadable => ("unreadable", 0.0),
         };
-        self.counters.limits.add(word);
+        self.counters.limits.add(label);
         self.limits.changed.notify(usize::MAX);
         self.freed.notify(usize::MAX);
 
         if let Some(left_out) = self.limits.lines.borrow_mut().take_line(self.now()) {
             let target = target.id.as_str();
-            log::info!("target's limit", kv: { target, change = word, per_s, from, left_out });
+            log::info!("target's limit changed", kv: {
+                target, change = label, per_s, from, left_out,
+            });
         }
     }
 
-    /// Notes that a request looks for a target, as permits are asked for by how many do.
+    /// Records that a request needs a target: the number of permits to request follows from that.
     pub(super) fn record_demand(&self, service: &str) {
         if self.limits.limits.borrow().is_empty() {
             return;
@@ -111,7 +118,7 @@
         self.limits.changed.notify(usize::MAX);
     }
 
-    /// Gets those of some targets to which this gateway may send a request now.
+    /// Returns the targets to which this gateway may send a request now.
     pub(super) fn permitted(
         &self,
         targets: Arc<[Arc<TargetEntry>]>,
@@ -127,7 +134,7 @@
         targets.iter().filter(|target| limits.may_send(target, now)).cloned().collect()
     }
 
-    /// Gets those of some targets that have no limit, which bear what they usually do; all of them where all have one.
+    /// Returns the targets without a limit, which have their full capacity; all if all are limited.
     pub(super) fn without_limited(
         &self,
         targets: Arc<[Arc<TargetEntry>]>,
@@ -142,12 +149,12 @@
         targets.iter().filter(|target| !is_limited(target)).cloned().collect()
     }
 
-    /// Takes the permit for a request to a target; none where there is no permit left.
+    /// Acquires a permit for a request to a target; `None` if none is left.
     pub(super) fn acquire_permit(&self, target: &TargetEntry, now: Moment) -> Option<Permit> {
         self.limits.limits.borrow_mut().acquire(target, now)
     }
 
-    /// Tells whether a request with a permit may still be sent, and counts it.
+    /// Returns whether a request with a permit may still be sent, and counts it.
     pub(super) fn confirm_permit(&self, target: &TargetEntry, permit: Permit) -> bool {
         let is_limited = self.limits.limits.borrow().is_limited(target);
         let is_sent = self.limits.limits.borrow_mut().confirm_send(target, permit, self.now());
@@ -159,8 +166,8 @@
         is_sent
     }
 
-    /// Gets how long a request that goes behind so many others waits for a permit, where all targets of its service that this
-    /// gateway deals with have a limit.
+    /// Returns the expected wait for a permit behind `ahead` other requests, if all of the
+    /// service's targets that this gateway selects from are limited.
     pub(super) fn permit_wait(&self, service: &str, ahead: usize) -> Option<Duration> {
         let candidates = self.candidates(service);
 
@@ -175,7 +182,7 @@
         Some(Duration::from_secs_f64(wait_s.min(MAX_PERMIT_WAIT.as_secs_f64())))
     }
 
-    /// Gets a target's limit for a dump, where it has one.
+    /// Returns a target's limit for a dump; null if it has none.
     pub(super) fn limit_dump(&self, target: &TargetEntry, now: Moment) -> serde_json::Value {
         let view = self.limits.limits.borrow().view(target);
 
@@ -187,7 +194,8 @@
         })
     }
 
-    /// Forgets limits that ended long ago, and what nobody asks for any more.
+    /// Removes limits that ended long ago, idle targets of the permit ledger and services without
+    /// demand.
     pub(super) fn remove_expired_limits(&self) {
         let now = self.now();
         self.limits.limits.borrow_mut().forget_ended(now);
--- a/grebedeck/src/gateway/loads.rs
+++ b/grebedeck/src/gateway/loads.rs
@@ -1,8 +1,8 @@
-//! Datagrams of other processes, above all being told the load of a model's ranks by the processes beside them.
+//! Datagrams from other processes, mainly load reports of a model's ranks from their agents.
 //!
-//! What targets say of their load in their answers is as old as the answer. The processes beside them
-//! read the engines all the time, and tell whoever asked for it in the last seconds. A lost datagram is
-//! made good by the next.
+//! The load that a target reports in a response is as old as the response. The agents read their
+//! engines all the time and send the load to every gateway that has subscribed within the last
+//! seconds. A lost datagram is made up for by the next one.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -16,24 +16,24 @@
 use super::service::Gateway;
 use crate::rank::message::{Body, Datagram, DatagramReader, MAX_DATAGRAM_BYTES};
 
-/// Datagrams that are taken in before other tasks get their turn: some milliseconds' worth of work.
-const MAX_AT_ONCE: usize = 64;
+/// Maximum number of datagrams handled before the task yields to others: some milliseconds of work.
+const MAX_DATAGRAMS_PER_TURN: usize = 64;
 
-/// Takes datagrams in until the task is dropped.
+/// Receives and handles datagrams until the task is dropped.
 pub async fn receive(gateway: Rc<Gateway>, socket: Rc<UdpSocket>) {
     let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     let mut reader = DatagramReader::default();
 
     loop {
         if let Ok((length, _)) = socket.recv_from(&mut buffer).await {
-            receive_one(&gateway, &socket, &mut reader, &buffer[..length]).await;
+            handle_datagram(&gateway, &socket, &mut reader, &buffer[..length]).await;
         }
 
-        // Those that have come already are taken in without waiting for the socket once more for each.
-        for _ in 1..MAX_AT_ONCE {
+        // Datagrams that have already arrived are handled without waiting for the socket for each.
+        for _ in 1..MAX_DATAGRAMS_PER_TURN {
             match socket.recv_from(&mut buffer).now_or_never() {
                 Some(Ok((length, _))) => {
-                    receive_one(&gateway, &socket, &mut reader, &buffer[..length]).await;
+                    handle_datagram(&gateway, &socket, &mut reader, &buffer[..length]).await;
                 }
                 _ => break,
             }
@@ -41,7 +41,7 @@
     }
 }
 
-async fn receive_one(
+async fn handle_datagram(
     gateway: &Rc<Gateway>,
     socket: &UdpSocket,
     reader: &mut DatagramReader,
@@ -57,22 +57,22 @@
         Some(Datagram { from, body: Body::Quota(message), .. }) => {
             quota::receive(gateway, socket, from.ip(), message).await;
         }
-        // Between ranks.
+        // Other messages are for ranks only.
         _ => {}
     }
 }
 
-/// Asks for loads from time to time until the task is dropped.
+/// Renews the subscriptions to load reports until the task is dropped.
 pub async fn subscribe(gateway: Rc<Gateway>, socket: Rc<UdpSocket>) {
     loop {
-        ask(&gateway, &socket).await;
+        send_subscriptions(&gateway, &socket).await;
         let period = if gateway.receives_rank_loads() { WATCH_PERIOD } else { FIRST_WATCH_PERIOD };
         async_std::task::sleep(period).await;
     }
 }
 
-/// Asks the processes beside the targets of models that this gateway deals with.
-async fn ask(gateway: &Gateway, socket: &UdpSocket) {
+/// Sends a subscription to the agents of all model targets that this gateway selects from.
+async fn send_subscriptions(gateway: &Gateway, socket: &UdpSocket) {
     let settings = gateway.settings();
     let own = SocketAddr::new(settings.ip, settings.group_port);
     let Ok(bytes) = (Datagram { from: own, group: None, body: Body::Watch }).to_bytes() else {
@@ -85,7 +85,7 @@
     });
 
     for address in addresses {
-        // A target without a process beside it, or one that is gone, does not answer.
+        // Targets that have no agent or are gone do not answer, so errors are ignored.
         let to = SocketAddr::new(address.ip(), settings.group_port);
         drop(socket.send_to(&bytes, to).await);
     }
--- a/grebedeck/src/gateway/relay.rs
+++ b/grebedeck/src/gateway/relay.rs
@@ -1,8 +1,11 @@
-//! Following the store through a relay, and being one.
+//! Reads the store through a relay, and relays it to other gateways.
 //!
-//! [`RelayedStore`] stands in for the store: it asks whom [`RelaySelector`] names, and keeps what it reads from the store itself
-//! in feeds, from which others are answered. A watch of a relay waits for a change as one of the store does. A relay whose
-//! own call to the store has failed says so at once, so that its followers lose no time.
+//! [`RelayedStore`] implements the store's interface. It reads from the source that
+//! [`RelaySelector`] selects: another gateway (the relay) or the store itself. What it reads from
+//! the store is buffered in feeds, which answer the gateways that follow this one. A watch of a
+//! relay waits for a change, as a watch of the store does. A relay whose own call to the store
+//! failed answers with an error at once, so that its followers switch to another source without
+//! delay.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -38,50 +41,50 @@
 const TARGETS_PATH: &str = "/peer/targets";
 const GATEWAYS_PATH: &str = "/peer/gateways";
 const QUARANTINE_PATH: &str = "/peer/quarantine";
-/// How long a connection to a relay may take to be made, how long an answer that has begun may pause, and how much later
-/// than asked for it may begin.
-const RELAY_LIMIT: Duration = Duration::from_millis(400);
-/// How long a relay that has read nothing yet lets others wait for it: longer than a slow store takes to answer, or to
-/// be given up.
-const READ_WAIT: Duration = Duration::from_millis(800);
-/// Relays that are asked before the store is: what was missed has to be known soon.
-const MAX_RELAYS_ASKED: usize = 2;
-/// How long a gateway waits at its start until it knows which others there are.
-const FIRST_LIST_LIMIT: Duration = Duration::from_millis(1500);
-/// Status of an answer that there is nothing newer.
-const UNCHANGED: u16 = 204;
-
-/// An answer of a relay.
+/// Timeout for connecting to a relay and for pauses within a response, and grace time for a
+/// response to begin after the requested wait.
+const RELAY_TIMEOUT: Duration = Duration::from_millis(400);
+/// Time for which a relay that has read nothing yet lets followers wait: longer than a slow store
+/// takes to answer or to time out.
+const FIRST_READ_WAIT: Duration = Duration::from_millis(800);
+/// Maximum number of relays to try before the store, as missed changes must be found soon.
+const MAX_RELAY_ATTEMPTS: usize = 2;
+/// Time for which a starting gateway waits for the list of gateways.
+const FIRST_LIST_TIMEOUT: Duration = Duration::from_millis(1500);
+/// HTTP status of a response without a newer version.
+const UNCHANGED_STATUS: u16 = 204;
+
+/// Response of a relay.
 #[derive(Debug, Serialize, Deserialize)]
 struct Relayed<T> {
-    /// How long ago the store confirmed it.
+    /// Time since the store confirmed the value.
     age: Duration,
     value: T,
 }
 
-/// What a gateway has for others that follow it, and whom it follows itself.
+/// Buffered contents of the store for followers, and the source that this gateway follows itself.
 pub struct RelayState {
     relays: RefCell<RelaySelector<SocketAddr>>,
     operator: RefCell<Feed<OperatorState>>,
     targets: RefCell<Feed<TargetListing>>,
     gateways: RefCell<Option<(Digest, GatewayListing)>>,
-    /// Told when a feed changes.
+    /// Notified when a feed changes.
     changed: Event,
-    /// Told when another gateway asks this one, which is to read the store then.
-    asked: Event,
-    /// Told when the list of gateways was first read, or could not be.
+    /// Notified when a follower waits for this gateway, which must then read the store.
+    follower_waiting: Event,
+    /// Notified when the first read of the list of gateways has succeeded or failed.
     listed: Event,
     is_listed: Cell<bool>,
-    /// Whether the quarantine that the store holds is known.
+    /// Whether the stored quarantine has been read.
     is_quarantine_known: Cell<bool>,
-    /// How long ago the store confirmed what operators have written, by the source's last answer.
+    /// Time since the store confirmed the operators' settings, as of the source's last response.
     operator_age: Cell<Duration>,
-    /// What was followed last.
+    /// Source that was selected last.
     followed: RefCell<Source<SocketAddr>>,
 }
 
 impl RelayState {
-    /// Makes the state of a gateway that knows no other.
+    /// Creates the state of a gateway that knows no others.
     pub fn new(own: SocketAddr) -> Self {
         RelayState {
             relays: RefCell::new(RelaySelector::new(own, RelayOptions::default())),
@@ -89,7 +92,7 @@
             targets: RefCell::default(),
             gateways: RefCell::default(),
             changed: Event::new(),
-            asked: Event::new(),
+            follower_waiting: Event::new(),
             listed: Event::new(),
             is_listed: Cell::new(false),
             is_quarantine_known: Cell::new(false),
@@ -98,39 +101,40 @@
         }
     }
 
-    /// Tells whether another gateway is followed.
+    /// Returns whether this gateway follows another one.
     pub fn follows_relay(&self) -> bool {
         matches!(*self.followed.borrow(), Source::Relay(_))
     }
 
-    /// Tells whether others may follow this gateway.
+    /// Returns whether others may follow this gateway.
     pub fn has_followers(&self) -> bool {
         self.relays.borrow().uses_relays()
     }
 
-    /// Gets how long ago the store confirmed what is known of what operators have written.
+    /// Returns the time since the store confirmed the operators' settings.
     pub fn operator_age(&self) -> Duration {
         self.operator_age.get()
     }
 
-    /// Notes that the quarantine that the store holds is known.
+    /// Records that the stored quarantine has been read.
     pub fn set_quarantine_known(&self) {
         self.is_quarantine_known.set(true);
         self.changed.notify(usize::MAX);
     }
 
-    /// Waits until it is known which other gateways there are, or for as long as that is worth it.
+    /// Waits for the first list of gateways, for a limited time.
     pub async fn wait_for_gateways(&self) {
         let listed = self.listed.listen();
 
         if !self.is_listed.get() {
-            let _ = timeout(FIRST_LIST_LIMIT, listed).await;
+            let _ = timeout(FIRST_LIST_TIMEOUT, listed).await;
         }
     }
 
-    /// Takes in the list of gateways as it was read, where it could be. A list that lacks the gateway itself and is not
-    /// the last one that it reads at its start may be one of a start of all: each would see other relays in it, so where
-    /// there are any the next list is waited for.
+    /// Applies the list of gateways, or `None` if it could not be read. `is_last` tells whether the
+    /// list is the last one read at the start. An earlier one that lacks this gateway may date from
+    /// a simultaneous start of all gateways, which would then each derive another relay from it. In
+    /// a hall with relays such a list is not used, and the next one is waited for.
     pub fn set_gateways(
         &self,
         own: &GatewayEntry,
@@ -138,8 +142,8 @@
         is_last: bool,
     ) {
         if let Some(listing) = listing {
-            let of_hall = listing.gateways.iter().filter(|other| other.info.hall == own.info.hall);
-            let links = of_hall.map(|other| (other.info.peer_address, other.info.link_mbps));
+            let in_hall = listing.gateways.iter().filter(|other| other.info.hall == own.info.hall);
+            let links = in_hall.map(|other| (other.info.peer_address, other.info.link_mbps));
             self.relays.borrow_mut().set_gateways(&own.info.hall, links);
 
             if !is_last && self.has_followers() && !listing.gateways.contains(own) {
@@ -152,7 +156,7 @@
         self.listed.notify(usize::MAX);
     }
 
-    /// Gets what to follow, and logs when that changes.
+    /// Selects the source to read from, and logs when it changes.
     fn source(&self, now: Moment) -> Source<SocketAddr> {
         let source = self.relays.borrow().source(now);
         let before = self.followed.replace(source.clone());
@@ -162,18 +166,19 @@
                 Source::Store => "store".to_string(),
                 Source::Relay(relay) => relay.to_string(),
             };
-            log::info!("source changed", kv: { followed });
+            log::info!("store source changed", kv: { followed });
         }
 
         source
     }
 
-    /// Notes that another gateway asks this one, and has it read the store where it has no answer.
-    fn record_ask(&self, has_answer: bool, now: Moment) {
+    /// Records a request of a follower. Without an answer for it, this gateway is made to read the
+    /// store.
+    fn record_follower_request(&self, has_answer: bool, now: Moment) {
         self.relays.borrow_mut().record_follower(now);
 
         if !has_answer {
-            self.asked.notify(usize::MAX);
+            self.follower_waiting.notify(usize::MAX);
         }
     }
 
@@ -183,39 +188,40 @@
     }
 
     fn record_relay_failure(&self, relay: SocketAddr, error: &Error, now: Moment) {
-        log::warn!("relay lost", kv: { relay = relay.to_string(), error = error.to_string() });
+        log::warn!("relay failed", kv: { relay = relay.to_string(), error = error.to_string() });
         self.relays.borrow_mut().record_relay_failure(&relay, now);
     }
 }
 
-/// State that the store holds and that a relay passes on.
-trait Followed:
+/// State in the store that relays pass on.
+trait Relayable:
     ApplyChange<Change: Serialize + DeserializeOwned> + Serialize + DeserializeOwned
 {
-    /// Where relays answer.
+    /// HTTP path at which relays serve the state.
     const PATH: &'static str;
 
-    /// Gets the gateway's own feed.
+    /// Returns the gateway's own feed of the state.
     fn feed(state: &RelayState) -> &RefCell<Feed<Self>>;
 
-    /// Reads the store.
+    /// Reads the state from the store.
     fn read<S: SiteStore>(store: &S) -> impl Future<Output = Result<Snapshot<Self>>>;
 
-    /// Watches the store.
+    /// Watches the store for changes of the state.
     fn watch<S: SiteStore>(
         store: &S,
         after: StoreVersion,
         wait: Duration,
     ) -> impl Future<Output = Result<Watched<Self::Change>>>;
 
-    /// Gets how long a relay lets its followers wait for a change, and waits for the store itself.
+    /// Maximum time for which a relay lets followers wait for a change, and itself waits for the
+    /// store.
     fn relay_wait(settings: &GatewaySettings) -> Duration;
 
-    /// Notes how long ago the store confirmed what was read last.
+    /// Records the time since the store confirmed the last read.
     fn record_age(_state: &RelayState, _age: Duration) {}
 }
 
-impl Followed for OperatorState {
+impl Relayable for OperatorState {
     const PATH: &'static str = OPERATOR_PATH;
 
     fn feed(state: &RelayState) -> &RefCell<Feed<Self>> {
@@ -243,7 +249,7 @@
     }
 }
 
-impl Followed for TargetListing {
+impl Relayable for TargetListing {
     const PATH: &'static str = TARGETS_PATH;
 
     fn feed(state: &RelayState) -> &RefCell<Feed<Self>> {
@@ -267,7 +273,7 @@
     }
 }
 
-/// The store, or a relay that reads it.
+/// A store that is read through a relay where possible.
 #[derive(Clone)]
 pub struct RelayedStore<S> {
     gateway: Rc<Gateway>,
@@ -276,7 +282,7 @@
 }
 
 impl<S: SiteStore> RelayedStore<S> {
-    /// Makes it for a gateway.
+    /// Creates the store of a gateway.
     pub fn new(gateway: Rc<Gateway>, store: S) -> Self {
         RelayedStore { gateway, store, clients: Rc::default() }
     }
@@ -285,22 +291,22 @@
         &self.gateway.relay
     }
 
-    /// Reads from relays where there are some, else from the store.
+    /// Reads from relays if there are any, otherwise from the store.
     async fn read<T: DeserializeOwned>(
         &self,
         path: &str,
         read_store: impl AsyncFnOnce(&S) -> Result<T>,
     ) -> Result<Relayed<T>> {
-        for _ in 0..MAX_RELAYS_ASKED {
-            let asked = self.state().asked.listen();
+        for _ in 0..MAX_RELAY_ATTEMPTS {
+            let follower_waiting = self.state().follower_waiting.listen();
             let Source::Relay(relay) = self.state().source(self.gateway.now()) else {
                 break;
             };
-            let limit = READ_WAIT + RELAY_LIMIT;
+            let limit = FIRST_READ_WAIT + RELAY_TIMEOUT;
             let answer = futures::select! {
-                answer = self.ask(relay, path, limit).fuse() => answer,
-                // Two that ask each other as they start would wait for each other.
-                () = asked.fuse() => continue,
+                answer = self.fetch(relay, path, limit).fuse() => answer,
+                // Prevents a deadlock of two gateways that follow each other while they start.
+                () = follower_waiting.fuse() => continue,
             };
 
             match answer {
@@ -321,12 +327,12 @@
         Ok(Relayed { age: Duration::ZERO, value: read? })
     }
 
-    async fn read_whole<T: Followed>(&self) -> Result<Snapshot<T>> {
+    async fn read_snapshot<T: Relayable>(&self) -> Result<Snapshot<T>> {
         let read_store = async |store: &S| {
             let read = T::read(store).await;
             let mut feed = T::feed(self.state()).borrow_mut();
 
-            // Buffer also where nobody follows yet: who is asked for the first time has an answer at once.
+            // The feed is filled even without followers, so that the first one is answered at once.
             match &read {
                 Ok(snapshot) => feed.replace(snapshot.clone(), self.gateway.now()),
                 Err(_) => feed.mark_stale(),
@@ -342,7 +348,7 @@
         Ok(value)
     }
 
-    async fn watch<T: Followed>(
+    async fn watch<T: Relayable>(
         &self,
         after: StoreVersion,
         wait: Duration,
@@ -353,14 +359,14 @@
         }
     }
 
-    async fn watch_store<T: Followed>(
+    async fn watch_store<T: Relayable>(
         &self,
         after: StoreVersion,
         wait: Duration,
     ) -> Result<Watched<T::Change>> {
         let feed = T::feed(self.state());
 
-        // What others are to follow begins with the whole state.
+        // A feed must begin with a snapshot.
         if feed.borrow().state() == FeedState::Empty {
             return Ok(Watched::HistoryGone);
         }
@@ -384,22 +390,22 @@
         watched
     }
 
-    /// Watches a relay. Where that fails the state is read whole: how old a change is that comes from the next source
-    /// is not known, as it may have been missed here.
-    async fn watch_relay<T: Followed>(
+    /// Watches a relay. If that fails, the caller has to read a snapshot: changes of the next
+    /// source may be old ones that this gateway missed.
+    async fn watch_relay<T: Relayable>(
         &self,
         relay: SocketAddr,
         after: StoreVersion,
         wait: Duration,
     ) -> Watched<T::Change> {
-        let asked = self.state().asked.listen();
+        let follower_waiting = self.state().follower_waiting.listen();
         T::feed(self.state()).borrow_mut().clear();
         let wait = wait.min(T::relay_wait(&self.gateway.settings()));
         let path = format!("{}?after={after}&wait_ms={}", T::PATH, wait.as_millis());
         let answer = futures::select! {
-            answer = self.ask(relay, &path, wait + RELAY_LIMIT).fuse() => answer,
-            // Whoever asks waits for this gateway to read the store.
-            () = asked.fuse() => return Watched::HistoryGone,
+            answer = self.fetch(relay, &path, wait + RELAY_TIMEOUT).fuse() => answer,
+            // The follower waits until this gateway has read the store.
+            () = follower_waiting.fuse() => return Watched::HistoryGone,
         };
 
         match answer {
@@ -414,19 +420,19 @@
         }
     }
 
-    async fn ask<T: DeserializeOwned>(
+    async fn fetch<T: DeserializeOwned>(
         &self,
         relay: SocketAddr,
         path: &str,
         limit: Duration,
     ) -> Result<Relayed<T>> {
-        match self.ask_if_changed(relay, path, limit).await? {
+        match self.fetch_if_changed(relay, path, limit).await? {
             Some(relayed) => Ok(relayed),
             None => platform_error(format!("relay {relay}: no answer to {path}")),
         }
     }
 
-    async fn ask_if_changed<T: DeserializeOwned>(
+    async fn fetch_if_changed<T: DeserializeOwned>(
         &self,
         relay: SocketAddr,
         path: &str,
@@ -441,7 +447,7 @@
 
         match answer.head.status {
             200 => Ok(Some(decode(&answer.body)?)),
-            UNCHANGED => Ok(None),
+            UNCHANGED_STATUS => Ok(None),
             status => platform_error(format!("relay {relay}: status {status}")),
         }
     }
@@ -450,16 +456,16 @@
         let mut clients = self.clients.borrow_mut();
         let client = clients.entry(relay);
 
-        client.or_insert_with(|| Rc::new(Client::new(relay, RELAY_LIMIT))).clone()
+        client.or_insert_with(|| Rc::new(Client::new(relay, RELAY_TIMEOUT))).clone()
     }
 
-    /// Reads the list of gateways from a relay, if it has another one than this gateway.
+    /// Reads the list of gateways from a relay; the known list if the relay has the same one.
     async fn relayed_gateways(&self, relay: SocketAddr) -> Result<GatewayListing> {
         let known = self.state().gateways.borrow().as_ref().map_or(0, |(digest, _)| *digest);
         let path = format!("{GATEWAYS_PATH}?after={known}");
-        let limit = RELAY_LIMIT;
+        let limit = RELAY_TIMEOUT;
 
-        match self.ask_if_changed::<GatewayListing>(relay, &path, limit).await? {
+        match self.fetch_if_changed::<GatewayListing>(relay, &path, limit).await? {
             Some(relayed) => Ok(relayed.value),
             None => {
                 let gateways = self.state().gateways.borrow();
@@ -471,7 +477,7 @@
 
 impl<S: SiteStore> SiteStore for RelayedStore<S> {
     async fn read_operator(&self) -> Result<Snapshot<OperatorState>> {
-        self.read_whole().await
+        self.read_snapshot().await
     }
 
     async fn watch_operator(
@@ -483,7 +489,7 @@
     }
 
     async fn read_targets(&self) -> Result<Snapshot<TargetListing>> {
-        self.read_whole().await
+        self.read_snapshot().await
     }
 
     async fn watch_targets(
@@ -534,7 +540,7 @@
     }
 }
 
-/// Answers a gateway that follows this one; `None` where the request is about something else.
+/// Answers a request of a follower; `None` if the path is not one of a relay.
 pub async fn answer(gateway: &Gateway, request: &RequestHead, unix_ms: UnixMs) -> Option<Page> {
     let state = &gateway.relay;
 
@@ -542,7 +548,9 @@
         OPERATOR_PATH => Some(answer_feed::<OperatorState>(gateway, request).await),
         TARGETS_PATH => Some(answer_feed::<TargetListing>(gateway, request).await),
         GATEWAYS_PATH => Some(match &*state.gateways.borrow() {
-            Some((known, _)) if query(request, "after") == Some(*known) => Page::empty(UNCHANGED),
+            Some((known, _)) if query(request, "after") == Some(*known) => {
+                Page::empty(UNCHANGED_STATUS)
+            }
             Some((_, listing)) => page(Duration::ZERO, listing),
             None => Page::empty(503),
         }),
@@ -553,14 +561,14 @@
 
 async fn answer_quarantine(gateway: &Gateway, unix_ms: UnixMs) -> Page {
     let state = &gateway.relay;
-    state.record_ask(state.is_quarantine_known.get(), gateway.now());
+    state.record_follower_request(state.is_quarantine_known.get(), gateway.now());
     let changed = async {
         while !state.is_quarantine_known.get() {
             state.changed.listen().await;
         }
     };
 
-    if timeout(READ_WAIT, changed).await.is_err() {
+    if timeout(FIRST_READ_WAIT, changed).await.is_err() {
         return Page::empty(503);
     }
 
@@ -571,41 +579,46 @@
     page(Duration::ZERO, &QuarantineListing { entries, unreadable: Vec::new() })
 }
 
-async fn answer_feed<T: Followed>(gateway: &Gateway, request: &RequestHead) -> Page {
+async fn answer_feed<T: Relayable>(gateway: &Gateway, request: &RequestHead) -> Page {
     let state = &gateway.relay;
-    let wait = query(request, "wait_ms").map_or(READ_WAIT, Duration::from_millis);
-    let give_up = gateway.now() + wait.min(T::relay_wait(&gateway.settings()).max(READ_WAIT));
-    state.record_ask(T::feed(state).borrow().state() != FeedState::Empty, gateway.now());
+    let wait = query(request, "wait_ms").map_or(FIRST_READ_WAIT, Duration::from_millis);
+    let deadline =
+        gateway.now() + wait.min(T::relay_wait(&gateway.settings()).max(FIRST_READ_WAIT));
+    state.record_follower_request(
+        T::feed(state).borrow().state() != FeedState::Empty,
+        gateway.now(),
+    );
 
     loop {
         let changed = state.changed.listen();
         let now = gateway.now();
 
-        if let Some(page) = feed_page::<T>(gateway, query(request, "after"), now >= give_up) {
+        if let Some(page) = feed_page::<T>(gateway, query(request, "after"), now >= deadline) {
             return page;
         }
 
-        // Whichever comes first.
-        let _ = timeout(give_up.saturating_sub(now), changed).await;
+        // The feed is checked again after a change and at the deadline.
+        let _ = timeout(deadline.saturating_sub(now), changed).await;
     }
 }
 
-/// Gets the answer from a feed; `None` while there is nothing to tell, and time to wait.
-fn feed_page<T: Followed>(
+/// Returns the response from a feed; `None` if there is no change and the deadline (`is_last`) has
+/// not passed.
+fn feed_page<T: Relayable>(
     gateway: &Gateway,
     after: Option<StoreVersion>,
     is_last: bool,
 ) -> Option<Page> {
     let feed = T::feed(&gateway.relay).borrow();
     let age = feed.age(gateway.now());
-    // A process that was suspended has not noticed yet that its watch is over.
-    let is_old = age > gateway.settings().relay_age_limit();
+    // A process that was suspended may not have noticed yet that its watch has ended.
+    let is_stale = age > gateway.settings().relay_age_limit();
 
-    let is_cut_off = gateway.relay.relays.borrow().is_store_failing(gateway.now());
+    let is_store_failing = gateway.relay.relays.borrow().is_store_failing(gateway.now());
 
     match feed.state() {
-        FeedState::Empty if !is_last && !is_cut_off => return None,
-        FeedState::Fresh if !is_old => {}
+        FeedState::Empty if !is_last && !is_store_failing => return None,
+        FeedState::Fresh if !is_stale => {}
         _ => return Some(Page::empty(503)),
     }
 
@@ -620,13 +633,13 @@
     match encode(&Relayed { age, value }) {
         Ok(bytes) => Page::bytes(bytes[PREFIX_BYTES..].to_vec()),
         Err(error) => {
-            log::error!("relay has no answer", kv: { error = error.to_string() });
+            log::error!("relay response not encoded", kv: { error = error.to_string() });
             Page::empty(500)
         }
     }
 }
 
-/// Gets a number from a request's query.
+/// Parses a number in a request's query.
 fn query(request: &RequestHead, name: &str) -> Option<u64> {
     let (_, query) = request.target.split_once('?')?;
     let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
--- a/grebedeck/src/gateway/starts.rs
+++ b/grebedeck/src/gateway/starts.rs
@@ -1,20 +1,20 @@
-//! Targets that start again under their ids, and entries that cannot be read.
+//! Restarts of targets under the same id, and unreadable entries of the target list.
 
 use grebedeck_gateway::TargetEntry;
 use grebedeck_kernel::log;
 
 use super::service::Gateway;
 
-/// Lines a second on entries that cannot be read: others may write as many as they like.
+/// Rate limit of log lines about unreadable entries, as their number is up to other programs.
 pub const UNREADABLE_LINES_PER_S: f64 = 2.0;
 
 impl Gateway {
-    /// Tells whether an entry is of an earlier start of its target than the one that is listed now.
+    /// Returns whether an entry belongs to an earlier start of its target than the listed one.
     pub fn is_earlier_start(&self, entry: &TargetEntry) -> bool {
         self.targets.borrow().is_earlier_start(entry)
     }
 
-    /// Forgets what was known of a target's earlier start.
+    /// Records that a target has restarted; drops the state of its earlier start.
     pub(super) fn record_restart(&self, entry: &TargetEntry) {
         let before = self.chooser.borrow().start_id(&entry.id);
         log::info!("target restarted", kv: {
@@ -29,13 +29,13 @@
         self.pool.drop_other_starts(entry);
     }
 
-    /// Tells of an entry that cannot be read.
+    /// Counts and logs an unreadable entry.
     pub(super) fn record_unreadable_entry(&self, id: &str, reason: &str) {
         self.counters.starts.add("unreadable");
         let line = self.entry_lines.borrow_mut().take_line(self.now());
 
         if let Some(left_out) = line {
-            log::warn!("entry not readable", kv: { target = id, reason, left_out });
+            log::warn!("target entry not readable", kv: { target = id, reason, left_out });
         }
     }
 }
