--- a/grebedeck/src/gateway/gossip.rs
+++ b/grebedeck/src/gateway/gossip.rs
@@ -1,8 +1,9 @@
-//! What gateways tell each other of crashes, and what of it outlasts them.
+//! Replication of crash reports and quarantined requests between gateways, and to the store.
 //!
-//! News go to all other gateways at once, in datagrams. Each gateway also asks another one from time to time with a digest of
-//! what it knows, and is told all where that differs: so lost datagrams are made good, and a gateway that starts, or was
-//! cut off, knows what the others know. What is in quarantine is in the store as well, for when all of them are gone.
+//! Updates are sent at once to all other gateways, as datagrams. Each gateway also periodically
+//! sends a digest of its state to a random peer, which replies with a full report if its own digest
+//! differs. This repairs losses of datagrams and brings gateways up to date that have started or
+//! were cut off. The quarantine is also stored, so that it survives a stop of all gateways.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -26,45 +27,47 @@
 use crate::random::ProcessRandom;
 use crate::rank::message::{Body, Datagram};
 
-/// How often another gateway is asked: a third of the time after which operators count on what one gateway knows.
-const ASK_PERIOD: Duration = Duration::from_secs(1);
-/// The same at the start, until the others are known.
-const FIRST_ASK_PERIOD: Duration = Duration::from_millis(100);
-/// How many times it is asked so soon.
-const FIRST_ASKS: u32 = 20;
-/// Most datagrams in which all is told: 48 requests each, so that what is quarantined fits.
-const MAX_PARTS: usize = 32;
-/// Most datagrams of news at a time.
-const MAX_NEWS_PARTS: usize = 256;
-/// First pause after a failed call to the store.
-const RETRY_PAUSE: Duration = Duration::from_millis(500);
-/// Longest pause: outages of the store last hours, and each call has its price.
-const MAX_RETRY_PAUSE: Duration = Duration::from_secs(8);
-
-/// Tells and asks other gateways until the task is dropped.
+/// Interval between digest requests: a third of the time within which operators rely on all
+/// gateways knowing what one of them knows.
+const DIGEST_PERIOD: Duration = Duration::from_secs(1);
+/// Interval at the start, while the peers are not known yet.
+const FIRST_DIGEST_PERIOD: Duration = Duration::from_millis(100);
+/// Number of digest requests at the interval of the start.
+const FIRST_DIGESTS: u32 = 20;
+/// Maximum number of datagrams of a full report: with 48 requests each, the whole quarantine fits.
+const MAX_SNAPSHOT_PARTS: usize = 32;
+/// Maximum number of datagrams of one update.
+const MAX_UPDATE_PARTS: usize = 256;
+/// First backoff after a failed call to the store.
+const MIN_BACKOFF: Duration = Duration::from_millis(500);
+/// Maximum backoff: outages of the store may last hours, and each call has a cost.
+const MAX_BACKOFF: Duration = Duration::from_secs(8);
+
+/// Sends updates and digest requests to other gateways until the task is dropped.
 pub async fn exchange_reports(gateway: Rc<Gateway>, socket: Rc<UdpSocket>) {
-    let mut asks = 0;
-    let mut ask_at = gateway.now();
+    let mut digests = 0;
+    let mut digest_at = gateway.now();
 
     loop {
-        let news = gateway.suspects_news.listen();
+        let updated = gateway.suspects_news.listen();
         let report = gateway.quarantine.borrow_mut().take_updates();
-        tell_all(&gateway, &socket, report).await;
+        send_update(&gateway, &socket, report).await;
         let now = gateway.now();
 
-        // However much there is to tell, what was lost on the way here is asked for.
-        if now >= ask_at {
-            ask_at = now + if asks < FIRST_ASKS { FIRST_ASK_PERIOD } else { ASK_PERIOD };
-            asks += 1;
-            ask(&gateway, &socket).await;
+        // A steady flow of updates must not delay digest requests, which repair losses.
+        if now >= digest_at {
+            digest_at =
+                now + if digests < FIRST_DIGESTS { FIRST_DIGEST_PERIOD } else { DIGEST_PERIOD };
+            digests += 1;
+            send_digest(&gateway, &socket).await;
         }
 
-        // Whichever comes first.
-        let _ = timeout(ask_at.saturating_sub(now), news).await;
+        // Wakes up for the next update or digest request.
+        let _ = timeout(digest_at.saturating_sub(now), updated).await;
     }
 }
 
-/// Answers a message of another gateway.
+/// Handles a message of another gateway.
 pub async fn receive(
     gateway: &Rc<Gateway>,
     socket: &UdpSocket,
@@ -75,28 +78,28 @@
         SuspectMessage::Ask { digest } => {
             if gateway.quarantine.borrow().digest() != digest {
                 let report = gateway.quarantine.borrow().snapshot(gateway.now());
-                tell(gateway, socket, &[from], report, MAX_PARTS).await;
+                send_report(gateway, socket, &[from], report, MAX_SNAPSHOT_PARTS).await;
             }
         }
         SuspectMessage::Tell(report) => gateway.apply_crash_report(&report),
     }
 }
 
-async fn ask(gateway: &Gateway, socket: &UdpSocket) {
+async fn send_digest(gateway: &Gateway, socket: &UdpSocket) {
     let digest = gateway.quarantine.borrow().digest();
-    let asked = sample_peers(gateway.peers(), 1, &mut ProcessRandom::default());
+    let selected = sample_peers(gateway.peers(), 1, &mut ProcessRandom::default());
 
-    send(gateway, socket, &asked, SuspectMessage::Ask { digest }).await;
+    send(gateway, socket, &selected, SuspectMessage::Ask { digest }).await;
 }
 
-async fn tell_all(gateway: &Gateway, socket: &UdpSocket, report: Report) {
+async fn send_update(gateway: &Gateway, socket: &UdpSocket, report: Report) {
     if !report.is_empty() {
         let peers: Vec<SocketAddr> = gateway.peers().into_iter().collect();
-        tell(gateway, socket, &peers, report, MAX_NEWS_PARTS).await;
+        send_report(gateway, socket, &peers, report, MAX_UPDATE_PARTS).await;
     }
 }
 
-async fn tell(
+async fn send_report(
     gateway: &Gateway,
     socket: &UdpSocket,
     peers: &[SocketAddr],
@@ -108,7 +111,7 @@
     }
 }
 
-/// Sends a message to instances of gateways, on whichever port they answer other things.
+/// Sends a message to the datagram ports of gateways, given by their peer addresses.
 async fn send(
     gateway: &Gateway,
     socket: &UdpSocket,
@@ -120,46 +123,49 @@
     let datagram = Datagram { from, group: None, body: Body::Suspects(message) };
     let bytes = match datagram.to_bytes() {
         Ok(bytes) => bytes,
-        Err(error) => return log::error!("crashes not told", kv: { error = error.to_string() }),
+        Err(error) => {
+            return log::error!("crash report not encoded", kv: { error = error.to_string() });
+        }
     };
 
     for peer in peers {
-        // A gateway that is gone hears nothing; what is lost is told again when it asks.
+        // Errors are ignored: what is lost is sent again after the peer's next digest request.
         drop(socket.send_to(&bytes, SocketAddr::new(peer.ip(), settings.group_port)).await);
     }
 }
 
-/// Reads what is in quarantine from the store, and keeps it there, until the task is dropped.
+/// Restores the quarantine from the store, then writes its changes there until the task is dropped.
 pub async fn persist_quarantine<S: SiteStore>(gateway: Rc<Gateway>, store: S) {
     gateway.relay.wait_for_gateways().await;
     restore(&gateway, &store).await;
     gateway.relay.set_quarantine_known();
-    let mut open: VecDeque<StoredChange> = VecDeque::new();
-    let mut pause = RETRY_PAUSE;
+    let mut pending: VecDeque<StoredChange> = VecDeque::new();
+    let mut backoff = MIN_BACKOFF;
 
     loop {
-        let news = gateway.suspects_news.listen();
+        let updated = gateway.suspects_news.listen();
 
         for change in gateway.quarantine.borrow_mut().take_stored_changes() {
-            // What is newer of a request replaces what was to be stored.
-            open.retain(|other| other.request() != change.request());
-            open.push_back(change);
+            // A newer change of a request replaces a pending one.
+            pending.retain(|other| other.request() != change.request());
+            pending.push_back(change);
         }
 
-        let Some(change) = open.pop_front() else {
-            news.await;
+        let Some(change) = pending.pop_front() else {
+            updated.await;
             continue;
         };
 
         match write(&store, change).await {
-            Ok(()) => pause = RETRY_PAUSE,
+            Ok(()) => backoff = MIN_BACKOFF,
             Err(error) => {
                 let fingerprint = to_hex(change.request());
                 log::warn!("quarantine not stored", kv: { fingerprint, error = error.to_string() });
-                // One that the store never takes must not hold up the others.
-                open.push_back(change);
-                sleep(pause).await;
-                pause = (pause * 2).min(MAX_RETRY_PAUSE);
+                // At the back of the queue a change that the store always rejects does not block
+                // others.
+                pending.push_back(change);
+                sleep(backoff).await;
+                backoff = (backoff * 2).min(MAX_BACKOFF);
             }
         }
     }
@@ -180,13 +186,13 @@
             Ok(listing) => break listing,
             Err(error) => {
                 log::warn!("quarantine not read", kv: { error = error.to_string() });
-                sleep(RETRY_PAUSE).await;
+                sleep(MIN_BACKOFF).await;
             }
         }
     };
 
     for (key, reason) in &listing.unreadable {
-        // Its request is found out again.
+        // The request is quarantined again if it causes more crashes.
         let (key, reason) = (key.as_str(), reason.as_str());
         log::warn!("quarantine entry not readable", kv: { key, reason });
     }
@@ -194,7 +200,8 @@
     for entry in listing.entries {
         let age = Duration::from_millis(unix_ms().saturating_sub(entry.written_unix_ms));
 
-        // Processes that forget it remove it; those that are gone can't.
+        // A process removes entries when they expire; those of processes that are gone stay until
+        // now.
         if age <= RETENTION {
             gateway.restore_quarantined(entry.request, entry.trials);
         } else if let Err(error) = store.release(entry.request).await {
--- a/grebedeck/src/gateway/halls.rs
+++ b/grebedeck/src/gateway/halls.rs
@@ -1,7 +1,7 @@
-//! What operators have written, as a gateway takes it in: the configuration, and the halls that they evacuate.
+//! Applies what operators write to the store: the configuration and the evacuations of halls.
 //!
-//! News are taken in one step without a pause: a request is never routed by a configuration while evacuations of
-//! the same answer are not in force yet.
+//! Each response of the store is applied in one step without an await point, so that no request is
+//! routed by a new configuration before the evacuations of the same response are in force.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -19,37 +19,39 @@
 use super::service::Gateway;
 use crate::settings::millis;
 
-/// Unreadable keys that are remembered so that each is told once; some more than an operator has.
-const MAX_TOLD: usize = 64;
+/// Maximum number of unreadable keys that are remembered, so that each is logged once; more than
+/// operators have.
+const MAX_LOGGED_KEYS: usize = 64;
 
-/// What is known of what operators have written, beside the halls themselves.
+/// How complete and recent the known operator state are.
 #[derive(Default)]
 pub struct OperatorView {
-    knows_halls: Cell<bool>,
-    /// The last moment at which nothing that operators had written was unknown.
+    has_hall_statuses: Cell<bool>,
+    /// Last moment at which all that operators had written was known.
     current_at: Cell<Option<Moment>>,
-    /// Keys that could not be read, with the versions that were told.
-    told: RefCell<BTreeMap<String, StoreVersion>>,
+    /// Unreadable keys, with the versions that were logged.
+    logged: RefCell<BTreeMap<String, StoreVersion>>,
 }
 
 impl OperatorView {
-    /// Tells whether the evacuated halls were read once, or told by another gateway.
+    /// Returns whether the evacuations have been read, or received from another gateway.
     pub fn has_hall_statuses(&self) -> bool {
-        self.knows_halls.get()
+        self.has_hall_statuses.get()
     }
 
-    /// Notes an unreadable key; tells whether it is to be told. Once too many were told, others are not.
-    fn is_news(&self, unreadable: &Unreadable) -> bool {
-        let mut told = self.told.borrow_mut();
+    /// Records an unreadable key; returns whether to log it. At the maximum, further keys are not
+    /// logged.
+    fn record_unreadable(&self, unreadable: &Unreadable) -> bool {
+        let mut logged = self.logged.borrow_mut();
 
-        if told.get(&unreadable.key).is_some_and(|version| *version >= unreadable.version) {
+        if logged.get(&unreadable.key).is_some_and(|version| *version >= unreadable.version) {
             return false;
         }
 
-        let has_room = told.len() < MAX_TOLD || told.contains_key(&unreadable.key);
+        let has_room = logged.len() < MAX_LOGGED_KEYS || logged.contains_key(&unreadable.key);
 
         if has_room {
-            told.insert(unreadable.key.clone(), unreadable.version);
+            logged.insert(unreadable.key.clone(), unreadable.version);
         }
 
         has_room
@@ -57,21 +59,22 @@
 }
 
 impl Gateway {
-    /// Takes in all that operators have written, asked for at a moment. Fails where no configuration is known and the
-    /// one in the store cannot be read, so that other gateways are asked for theirs.
+    /// Applies all that operators have written, as requested at `requested_at`. Fails if no
+    /// configuration is known and the one in the store is unreadable, so that other gateways are
+    /// polled for theirs.
     pub fn apply_operator_snapshot(
         &self,
         snapshot: Snapshot<OperatorState>,
-        asked_at: Moment,
+        requested_at: Moment,
     ) -> Result<()> {
         let Snapshot { version, value: OperatorState { site, evacuated, unreadable } } = snapshot;
-        let known_at = asked_at.saturating_sub(self.relay.operator_age());
+        let known_at = requested_at.saturating_sub(self.relay.operator_age());
         let since = self.operator.current_at.replace(Some(known_at));
-        self.take_halls("store", |halls, now| {
+        self.update_halls("store", |halls, now| {
             halls.apply_snapshot(version, &evacuated, since, now)
         });
-        self.operator.knows_halls.set(true);
-        unreadable.iter().for_each(|what| self.note_unreadable_key(what));
+        self.operator.has_hall_statuses.set(true);
+        unreadable.iter().for_each(|what| self.log_unreadable_key(what));
 
         if let Some(site) = site {
             self.take_site(&site, "store");
@@ -83,7 +86,7 @@
         }
     }
 
-    /// Takes in changes of what operators have written, in their order, up to a version.
+    /// Applies changes of operators in their order, up to a version.
     pub fn apply_operator_changes(&self, version: StoreVersion, changes: Vec<OperatorChange>) {
         for change in changes {
             match change {
@@ -91,53 +94,53 @@
                     self.take_site(&site, "store");
                 }
                 OperatorChange::Evacuated { version, hall } => {
-                    self.take_halls("store", |halls, now| {
+                    self.update_halls("store", |halls, now| {
                         halls.apply_change(version, &hall, true, now)
                     });
                 }
                 OperatorChange::Reopened { version, hall } => {
-                    self.take_halls("store", |halls, now| {
+                    self.update_halls("store", |halls, now| {
                         halls.apply_change(version, &hall, false, now)
                     });
                 }
-                OperatorChange::Unreadable(what) => self.note_unreadable_key(&what),
+                OperatorChange::Unreadable(what) => self.log_unreadable_key(&what),
             }
         }
 
         self.targets.borrow_mut().advance_halls_version(version);
-        self.record_operator_unchanged();
+        self.record_operator_current();
     }
 
-    /// Notes that nothing that operators have written is unknown.
-    pub fn record_operator_unchanged(&self) {
+    /// Records that all that operators have written is known.
+    pub fn record_operator_current(&self) {
         let known_at = self.now().saturating_sub(self.relay.operator_age());
         self.operator.current_at.set(Some(known_at));
     }
 
-    /// Gets what is known of halls, for other gateways.
+    /// Returns the known statuses of halls, for other gateways.
     pub fn hall_statuses(&self) -> HallStatuses {
         let now = self.now();
 
         self.with_targets(|targets| targets.evacuations().statuses(now))
     }
 
-    /// Takes in what another gateway knows of halls.
-    pub fn merge_hall_statuses(&self, words: &HallStatuses) {
-        self.take_halls("peer", |halls, now| halls.merge(words, now));
+    /// Merges the hall statuses that another gateway knows.
+    pub fn merge_hall_statuses(&self, statuses: &HallStatuses) {
+        self.update_halls("peer", |halls, now| halls.merge(statuses, now));
 
-        if words.version > 0 {
-            self.operator.knows_halls.set(true);
+        if statuses.version > 0 {
+            self.operator.has_hall_statuses.set(true);
         }
     }
 
-    /// Tells whether all targets of a service stand in evacuated halls.
+    /// Returns whether all targets of a service are in evacuated halls.
     pub fn is_evacuated(&self, service: &str) -> bool {
         self.refresh_halls();
         self.with_targets(|targets| targets.is_evacuated(service))
     }
 
-    /// Lets targets leave whose time to do so is over, where housekeeping is late: a process that was frozen may look
-    /// for a place before it.
+    /// Drops expired targets if housekeeping is late: a process that was suspended may select a
+    /// target before housekeeping runs.
     pub(super) fn refresh_halls(&self) {
         let is_late = self.with_targets(|t| t.is_index_stale(HOUSEKEEPING_PERIOD, self.now()));
 
@@ -146,7 +149,7 @@
         }
     }
 
-    /// Puts the settings' bound on evacuations in force.
+    /// Applies the settings' bound on the time in which an evacuation completes.
     pub(super) fn set_evacuation_bound(&self) {
         let bound = millis(self.settings().evacuate_ms);
         let now = self.now();
@@ -154,20 +157,20 @@
         self.targets.borrow_mut().update_evacuations(|halls| halls.set_bound(bound), now);
     }
 
-    fn take_halls<E: IntoIterator<Item = HallEvent>>(
+    fn update_halls<E: IntoIterator<Item = HallEvent>>(
         &self,
         from: &'static str,
-        take: impl FnOnce(&mut Evacuations, Moment) -> E,
+        update: impl FnOnce(&mut Evacuations, Moment) -> E,
     ) {
         let now = self.now();
-        let events = self.targets.borrow_mut().update_evacuations(|halls| take(halls, now), now);
+        let events = self.targets.borrow_mut().update_evacuations(|halls| update(halls, now), now);
 
         for event in events {
-            self.note_hall_event(&event, from);
+            self.record_hall_event(&event, from);
         }
     }
 
-    fn note_hall_event(&self, event: &HallEvent, from: &'static str) {
+    fn record_hall_event(&self, event: &HallEvent, from: &'static str) {
         match event {
             HallEvent::Evacuated { hall, version } => {
                 self.counters.hall_news.add("evacuated");
@@ -177,14 +180,14 @@
             }
             HallEvent::Reopened { hall, version } => {
                 self.counters.hall_news.add("taken_back");
-                log::info!("hall taken back", kv: {
+                log::info!("hall reopened", kv: {
                     hall = hall.as_str(), version = *version, from,
                 });
                 self.assume_restarts_in(hall);
             }
             HallEvent::Dropped { hall, version } => {
                 self.counters.hall_news.add("left_out");
-                self.note_unreadable_key(&Unreadable {
+                self.log_unreadable_key(&Unreadable {
                     version: *version,
                     key: hall.clone(),
                     error: "too many halls, or a name that is too long".to_string(),
@@ -195,8 +198,8 @@
         self.freed.notify(usize::MAX);
     }
 
-    fn note_unreadable_key(&self, what: &Unreadable) {
-        if self.operator.is_news(what) {
+    fn log_unreadable_key(&self, what: &Unreadable) {
+        if self.operator.record_unreadable(what) {
             log::error!("refused", kv: {
                 what = what.key.as_str(), version = what.version, error = what.error.as_str(),
             });
@@ -204,7 +207,7 @@
     }
 }
 
-/// Gets the evacuated halls for a dump.
+/// Returns the evacuated halls for a dump.
 pub fn evacuated_view(halls: &Evacuations) -> Vec<serde_json::Value> {
     let view = |(hall, version)| json!({ "hall": hall, "version": version });
 
--- a/grebedeck/src/gateway/handout.rs
+++ b/grebedeck/src/gateway/handout.rs
@@ -1,8 +1,9 @@
-//! Places for those who are next in line.
+//! Assigns places on targets to the requests that wait in a service's queue.
 //!
-//! While somebody waits for a service, a task looks for places: when one became free, when the list of targets, the
-//! configuration or a load has changed, when the next prompt may begin, and when somebody is to be given up. A place is
-//! taken before it is handed out, so nobody else gets it on the way; whoever has left gives it back.
+//! While requests wait for a service, a task looks for places: when one may have become free, when
+//! the target list, the configuration or a load has changed, when the next prompt may begin, and
+//! when a waiting request has to be refused. A place is acquired before it is assigned, so that no
+//! other request gets it in between; a request that has left the queue meanwhile gives it back.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -17,10 +18,11 @@
 use super::service::Gateway;
 use super::waiting::Obstacle;
 
-/// Hands places out for as long as somebody waits.
+/// Assigns places for as long as requests wait for a service.
 pub async fn serve_queue(gateway: Rc<Gateway>, service: ServiceName) {
     loop {
-        // Listening begins before the look, so that no place is missed between them.
+        // Listening begins before the search, so that no place that becomes free meanwhile is
+        // missed.
         let freed = gateway.freed.listen();
         let Some(pause) = assign_places(&gateway, &service) else {
             gateway.waiting.with(&service, |line| line.is_served = false);
@@ -30,7 +32,8 @@
     }
 }
 
-/// Gives places to those who are next while there are any; gets the time until the next look, where somebody waits.
+/// Assigns places in queue order while there are any; returns the time until the next search, or
+/// `None` if no request waits.
 pub fn assign_places(gateway: &Rc<Gateway>, service: &str) -> Option<Duration> {
     loop {
         let now = gateway.now();
@@ -41,22 +44,22 @@
                 let next = gateway.waiting.with(service, |line| line.queue.pop(now)).flatten();
                 let (waiter, seeker) = next?;
                 gateway.counters.in_line.left(waiter.urgency);
-                // Who has left in this moment gives the place back.
+                // If the request has just left, dropping the place gives it back.
                 drop(seeker.answer.send(Ok(place)));
             }
             Err(reason) => {
-                give_up(gateway, service, reason, now);
+                refuse_due(gateway, service, reason, now);
                 let next = gateway.waiting.with(service, |line| line.queue.next_give_up());
-                let left = next.flatten()?.saturating_sub(now);
+                let until_due = next.flatten()?.saturating_sub(now);
 
-                return Some(pause(reason).min(left).max(MIN_WAIT));
+                return Some(search_interval(reason).min(until_due).max(MIN_WAIT));
             }
         }
     }
 }
 
-/// Gets the time until the next look where nothing is told before.
-fn pause(reason: NoPlace) -> Duration {
+/// Returns the time until the next search if no notification comes before.
+fn search_interval(reason: NoPlace) -> Duration {
     match reason {
         NoPlace::Paced(left) => left.min(TRIAL_PAUSE),
         NoPlace::Out(_)
@@ -68,7 +71,7 @@
     }
 }
 
-/// Keeps why there is no place; gives it back.
+/// Records why there is no place; returns the reason.
 pub fn record_obstacle(gateway: &Gateway, service: &str, reason: NoPlace) -> NoPlace {
     let obstacle = Obstacle { reason, is_overdue: gateway.is_outage_overdue(service) };
     gateway.waiting.with(service, |line| line.obstacle = obstacle);
@@ -76,9 +79,9 @@
     reason
 }
 
-/// Gives up those for whom waiting is of no use any more, and holds longer whom that helps.
-fn give_up(gateway: &Rc<Gateway>, service: &str, reason: NoPlace, now: Moment) {
-    let before = gateway.waiting.with(service, |line| line.obstacle);
+/// Refuses requests for which waiting is no longer useful, and extends the wait of others.
+fn refuse_due(gateway: &Rc<Gateway>, service: &str, reason: NoPlace, now: Moment) {
+    let previous = gateway.waiting.with(service, |line| line.obstacle);
     record_obstacle(gateway, service, reason);
     let is_overdue = gateway.is_outage_overdue(service);
     let is_same = |o: Obstacle| {
@@ -86,10 +89,10 @@
             && o.is_overdue == is_overdue
             && o.reason.is_near() == reason.is_near()
     };
-    let is_other = !before.is_some_and(is_same);
-    // How far off the end of an outage is changes for all of them all the time.
-    let concerns_all = is_other || (is_overdue && matches!(reason, NoPlace::Out(_)));
-    let asked = gateway.waiting.with(service, |line| {
+    let has_changed = !previous.is_some_and(is_same);
+    // The estimated end of an overdue outage keeps moving for all requests.
+    let concerns_all = has_changed || (is_overdue && matches!(reason, NoPlace::Out(_)));
+    let affected = gateway.waiting.with(service, |line| {
         let tickets = if concerns_all { line.queue.tickets() } else { line.queue.due(now) };
         let request = |ticket: &Ticket| {
             let (waiter, seeker) = line.queue.get(*ticket)?;
@@ -99,7 +102,7 @@
         tickets.iter().filter_map(request).collect::<Vec<_>>()
     });
 
-    for (ticket, give_up, request) in asked.unwrap_or_default() {
+    for (ticket, give_up, request) in affected.unwrap_or_default() {
         match hold::held_until(gateway, &request, reason, give_up, now) {
             Some(until) => {
                 gateway.waiting.with(service, |line| line.queue.set_give_up(ticket, until));
@@ -109,7 +112,7 @@
     }
 }
 
-/// Takes one out of the line and answers it.
+/// Removes a request from the queue and sends it the answer.
 pub fn answer_waiter(
     gateway: &Gateway,
     service: &str,
@@ -121,7 +124,7 @@
 
     if let Some((waiter, seeker)) = removed {
         gateway.counters.in_line.left(waiter.urgency);
-        // Who has left in this moment needs no answer.
+        // A request that has just left needs no answer.
         drop(seeker.answer.send(answer));
     }
 }
--- a/grebedeck/src/gateway/peers.rs
+++ b/grebedeck/src/gateway/peers.rs
@@ -1,8 +1,8 @@
-//! What gateways tell each other while the store is away from one of them.
+//! Replication between gateways while one of them cannot use the store.
 //!
-//! The store may turn single processes away and serve the others and the operators. Such a process asks
-//! other gateways for what they know: those that the settings name, and those that were published in the
-//! store. What they say is taken only if it is newer, like what the store says.
+//! The store may reject single processes while it serves others and the operators. Such a process
+//! polls other gateways for their state: the seed peers of its settings, and the gateways that are
+//! published in the store. Their state is applied only if it is newer, as that of the store is.
 
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -26,32 +26,35 @@
 use crate::pages::Page;
 use crate::random::ProcessRandom;
 
-/// Path of what a gateway knows.
+/// HTTP path at which a gateway serves its state.
 const STATE_PATH: &str = "/peer/state";
-/// How often peers are asked while the store is away: a change must be in force within two seconds.
-const ASK_PERIOD: Duration = Duration::from_millis(400);
-/// Peers that are asked at a time, as each answers with all that it knows. While the store turns a third of the
-/// gateways away, one round in thirty finds nobody who knows more.
-const PEERS_ASKED: usize = 3;
-/// How long a peer may take to answer.
-const ASK_LIMIT: Duration = Duration::from_millis(300);
-/// How often the gateways that were published are read, to know whom to ask.
+/// Interval of polls while the store is unavailable: a change must be in force within 2 s.
+const POLL_PERIOD: Duration = Duration::from_millis(400);
+/// Number of peers to poll per round, which is small because each sends its whole state. While the
+/// store rejects a third of the gateways, one round in thirty finds no peer with newer state.
+const PEERS_PER_POLL: usize = 3;
+/// Timeout of a poll.
+const POLL_TIMEOUT: Duration = Duration::from_millis(300);
+/// Interval between reads of the list of published gateways.
 const LIST_PERIOD: Duration = Duration::from_secs(10);
-/// The same where relays read them for others, as each of the two steps adds its own period.
+/// Interval where relays read the list for others: the relay and the follower each add one
+/// interval.
 const RELAYED_LIST_PERIOD: Duration = Duration::from_secs(5);
-/// How soon the own row is written again where a list does not have it; a relay's list may be that much older.
+/// Time after which the own row is written again if a list lacks it; a relay's list may be this
+/// old.
 const REPUBLISH_PERIOD: Duration = Duration::from_secs(15);
-/// How soon it is written again where the store did not take it, at the least, and over what time more: gateways that
-/// start together write more rows than one part of a table takes in a second.
-const PUBLISH_RETRY: Duration = Duration::from_secs(1);
-const PUBLISH_SPREAD: Duration = Duration::from_secs(2);
-/// How soon they are read again after the own row was written: others that start at the same time have written
-/// theirs by then.
+/// Minimum backoff after the store rejected the own row.
+const PUBLISH_BACKOFF: Duration = Duration::from_secs(1);
+/// Maximum random addition to the backoff: gateways that start together write more rows per second
+/// than one partition of a table accepts.
+const PUBLISH_JITTER: Duration = Duration::from_secs(2);
+/// Time between the first write of the own row and the next read of the list, in which gateways
+/// that start at the same time write their rows.
 const FIRST_LIST_PERIOD: Duration = Duration::from_secs(1);
-/// Rows of gateways that cannot be read that are told of, each once.
-const MAX_TOLD: usize = 100;
+/// Maximum number of unreadable rows that are logged, each once.
+const MAX_LOGGED_ROWS: usize = 100;
 
-/// What a gateway knows.
+/// State that a gateway serves to its peers.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 struct PeerState {
     site: Option<Site>,
@@ -60,7 +63,7 @@
     targets: TargetListing,
 }
 
-/// Answers another gateway.
+/// Answers a request of another gateway.
 pub async fn answer(gateway: &Gateway, request: &RequestHead) -> Page {
     if let Some(page) = relay::answer(gateway, request, unix_ms()).await {
         return page;
@@ -77,13 +80,13 @@
     match encode(&state) {
         Ok(bytes) => Page::bytes(bytes[PREFIX_BYTES..].to_vec()),
         Err(error) => {
-            log::error!("state not told", kv: { error = error.to_string() });
+            log::error!("state for peer not encoded", kv: { error = error.to_string() });
             Page::empty(500)
         }
     }
 }
 
-/// Publishes this gateway and reads the others from time to time.
+/// Publishes this gateway, and periodically reads the list of all gateways.
 pub async fn follow_gateways<S: SiteStore>(gateway: Rc<Gateway>, store: S) {
     let settings = gateway.settings();
     let info = GatewayInfo {
@@ -92,19 +95,20 @@
         link_mbps: settings.link_mbps as u32,
     };
     let own = GatewayEntry { name: settings.name.clone(), info };
-    let mut told = BTreeSet::new();
+    let mut logged = BTreeSet::new();
     let mut published_at: Option<Moment> = None;
 
     loop {
-        // Read before it is published: a gateway whose row was there before is known to all others.
+        // The list is read before this gateway is published: one whose row is already there is
+        // known to all others.
         let read = store.read_gateways().await;
         let is_first = published_at.is_none();
         gateway.relay.set_gateways(&own, read.as_ref().ok(), !is_first);
 
         match read {
             Ok(listing) => {
-                note_unreadable(&listing, &mut told);
-                take_gateways(&gateway, &listing);
+                log_unreadable(&listing, &mut logged);
+                apply_gateways(&gateway, &listing);
                 let now = gateway.now();
                 let is_due = published_at.is_none_or(|at| now >= at + REPUBLISH_PERIOD);
 
@@ -119,7 +123,7 @@
                 }
             }
             Err(error) => {
-                log::warn!("gateways not read", kv: { error = error.to_string() });
+                log::warn!("list of gateways not read", kv: { error = error.to_string() });
             }
         }
 
@@ -128,24 +132,24 @@
     }
 }
 
-/// Writes the own row, until the store takes it or its next writing is due.
+/// Writes the own row, with retries until the store accepts it or the row is due again.
 async fn publish<S: SiteStore>(store: S, own: GatewayEntry) {
     let mut waited = Duration::ZERO;
 
     while let Err(error) = store.publish(&own).await {
         log::warn!("gateway not published", kv: { error = error.to_string() });
-        let pause = PUBLISH_RETRY + PUBLISH_SPREAD.mul_f64(ProcessRandom::default().unit());
-        waited += pause;
+        let backoff = PUBLISH_BACKOFF + PUBLISH_JITTER.mul_f64(ProcessRandom::default().unit());
+        waited += backoff;
 
         if waited >= REPUBLISH_PERIOD {
             return;
         }
 
-        sleep(pause).await;
+        sleep(backoff).await;
     }
 }
 
-fn take_gateways(gateway: &Gateway, listing: &GatewayListing) {
+fn apply_gateways(gateway: &Gateway, listing: &GatewayListing) {
     let addresses = listing.gateways.iter().map(|g| g.info.peer_address);
     let addresses: BTreeSet<SocketAddr> = addresses.collect();
     let is_listed = addresses.contains(&gateway.settings().peer_address);
@@ -154,41 +158,42 @@
     gateway.set_coordinators(is_listed);
 }
 
-/// Tells of rows that cannot be read, once.
-fn note_unreadable(listing: &GatewayListing, told: &mut BTreeSet<String>) {
+/// Logs each unreadable row once.
+fn log_unreadable(listing: &GatewayListing, logged: &mut BTreeSet<String>) {
     for (name, reason) in &listing.unreadable {
-        if told.len() < MAX_TOLD && told.insert(name.clone()) {
+        if logged.len() < MAX_LOGGED_ROWS && logged.insert(name.clone()) {
             let (name, reason) = (name.as_str(), reason.as_str());
-            log::warn!("gateway not readable", kv: { name, reason });
+            log::warn!("gateway row not readable", kv: { name, reason });
         }
     }
 }
 
-/// Asks the peers while the store is away, until the task is dropped.
+/// Polls peers while the store is unavailable, until the task is dropped.
 pub async fn poll_peers(gateway: Rc<Gateway>) {
     let mut clients: HashMap<SocketAddr, Rc<Client>> = HashMap::new();
-    // Until then nobody knows whether the store is away.
+    // Before the first list it is unknown whether the store is available.
     gateway.relay.wait_for_gateways().await;
 
     loop {
-        sleep(ASK_PERIOD).await;
+        sleep(POLL_PERIOD).await;
 
         if !gateway.is_store_away(gateway.settings().store_silence()) {
             continue;
         }
 
-        for address in sample_peers(gateway.peers(), PEERS_ASKED, &mut ProcessRandom::default()) {
+        for address in sample_peers(gateway.peers(), PEERS_PER_POLL, &mut ProcessRandom::default())
+        {
             let client = clients
                 .entry(address)
-                .or_insert_with(|| Rc::new(Client::new(address, ASK_LIMIT)))
+                .or_insert_with(|| Rc::new(Client::new(address, POLL_TIMEOUT)))
                 .clone();
-            // A peer that does not answer must not hold up the others.
-            gateway.tasks.spawn(ask(gateway.clone(), client)).detach();
+            // In a task of its own, so that an unresponsive peer does not delay the others.
+            gateway.tasks.spawn(poll_peer(gateway.clone(), client)).detach();
         }
     }
 }
 
-/// Draws some of the peers.
+/// Selects up to `count` distinct peers at random.
 pub fn sample_peers(
     peers: BTreeSet<SocketAddr>,
     count: usize,
@@ -205,20 +210,24 @@
     peers
 }
 
-/// Asks one peer and takes what is newer.
-async fn ask(gateway: Rc<Gateway>, client: Rc<Client>) {
+/// Polls one peer and applies what is newer.
+async fn poll_peer(gateway: Rc<Gateway>, client: Rc<Client>) {
     let state = match fetch(&client).await {
         Ok(state) => state,
-        // Seeds and published gateways may be gone, so a failure is only counted.
+        // Seed peers and published gateways may be gone, so a failure is counted and not logged.
         Err(error) => {
-            let is_of_peer = matches!(error, Error::Protocol(_));
-            gateway.counters.peer_answers.add(if is_of_peer { "not_understood" } else { "none" });
+            let is_protocol_error = matches!(error, Error::Protocol(_));
+            gateway.counters.peer_answers.add(if is_protocol_error {
+                "not_understood"
+            } else {
+                "none"
+            });
             return;
         }
     };
     gateway.counters.peer_answers.add("taken");
 
-    // Halls go first: no request is routed by a new configuration before they are known.
+    // Halls come first, so that a new configuration never routes requests to evacuated halls.
     gateway.merge_hall_statuses(&state.halls);
 
     if let Some(site) = state.site.filter(|_| gateway.operator.has_hall_statuses()) {
@@ -236,7 +245,7 @@
 
 async fn fetch(client: &Client) -> Result<PeerState> {
     let answer = client
-        .get(STATE_PATH, ASK_LIMIT)
+        .get(STATE_PATH, POLL_TIMEOUT)
         .await
         .map_err(|e| Error::Platform(format!("peer {}: {e}", client.address())))?;
 
--- a/grebedeck/src/gateway/relay.rs
+++ b/grebedeck/src/gateway/relay.rs
@@ -77,7 +77,7 @@
     is_listed: Cell<bool>,
     /// Whether the stored quarantine has been read.
     is_quarantine_known: Cell<bool>,
-    /// Time since the store confirmed the operators' settings, as of the source's last response.
+    /// Time since the store confirmed the operator state, as of the source's last response.
     operator_age: Cell<Duration>,
     /// Source that was selected last.
     followed: RefCell<Source<SocketAddr>>,
@@ -111,7 +111,7 @@
         self.relays.borrow().uses_relays()
     }
 
-    /// Returns the time since the store confirmed the operators' settings.
+    /// Returns the time since the store confirmed the operator state.
     pub fn operator_age(&self) -> Duration {
         self.operator_age.get()
     }
--- a/grebedeck/src/gateway/watch.rs
+++ b/grebedeck/src/gateway/watch.rs
@@ -1,4 +1,5 @@
-//! Following the configuration and the list of targets in the store.
+//! Follows the operator state and the target list in the store: reads a snapshot, then watches
+//! for changes.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,12 +11,12 @@
 
 use super::service::Gateway;
 
-/// First wait after a failed call.
-const FIRST_RETRY_WAIT: Duration = Duration::from_millis(100);
-/// Longest wait after failed calls: what the store brings when it returns is known soon after.
-const MAX_RETRY_WAIT: Duration = Duration::from_millis(500);
+/// First backoff after a failed call.
+const MIN_BACKOFF: Duration = Duration::from_millis(100);
+/// Maximum backoff, so that changes are known soon after the store returns.
+const MAX_BACKOFF: Duration = Duration::from_millis(500);
 
-/// Waits longer after each failure, and tells of the first and of the end of a series.
+/// Exponential backoff; logs the first failure of a series and its end.
 struct Backoff {
     what: &'static str,
     failures: u32,
@@ -26,20 +27,20 @@
         Backoff { what, failures: 0 }
     }
 
-    async fn failed(&mut self, error: &grebedeck_core::Error) {
+    async fn wait_after_failure(&mut self, error: &grebedeck_core::Error) {
         if let grebedeck_core::Error::Faults(faults) = error {
-            // What was in force stays so; the store itself is there.
+            // The previous configuration stays in force; the store itself is available.
             log::error!("refused", kv: { what = self.what, error = faults.to_string() });
         } else if self.failures == 0 {
             log::warn!("store lost", kv: { what = self.what, error = error.to_string() });
         }
 
-        let wait = FIRST_RETRY_WAIT * (1 << self.failures.min(4));
+        let wait = MIN_BACKOFF * (1 << self.failures.min(4));
         self.failures = self.failures.saturating_add(1);
-        sleep(wait.min(MAX_RETRY_WAIT)).await;
+        sleep(wait.min(MAX_BACKOFF)).await;
     }
 
-    fn succeeded(&mut self) {
+    fn reset(&mut self) {
         if self.failures > 0 {
             log::info!("store back", kv: { what = self.what, failures = self.failures });
         }
@@ -48,7 +49,7 @@
     }
 }
 
-/// Follows what operators write until the task is dropped.
+/// Follows the operator state until the task is dropped.
 pub async fn follow_operator<S: SiteStore>(gateway: Rc<Gateway>, store: S) {
     gateway.relay.wait_for_gateways().await;
     let mut backoff = Backoff::new("configuration");
@@ -57,7 +58,7 @@
     loop {
         match next_operator(&gateway, &store, after).await {
             Ok(next) => {
-                backoff.succeeded();
+                backoff.reset();
                 gateway.counters.store_calls.add("answered");
                 gateway.store_answered();
                 after = next;
@@ -65,27 +66,27 @@
             Err(error) => {
                 gateway.counters.store_calls.add("failed");
                 gateway.store_failed();
-                // What changed meanwhile is found by reading whole.
+                // A snapshot brings the changes made meanwhile.
                 after = None;
-                backoff.failed(&error).await;
+                backoff.wait_after_failure(&error).await;
             }
         }
     }
 }
 
-/// Takes one step: reads what operators have written whole, or waits for a change after a version. Gives the
-/// version to go on from, or `None` to read whole.
+/// Reads a snapshot of the operator state, or waits for changes after a version. Returns the
+/// version to continue from, or `None` if a snapshot has to be read.
 async fn next_operator<S: SiteStore>(
     gateway: &Gateway,
     store: &S,
     after: Option<StoreVersion>,
 ) -> Result<Option<StoreVersion>> {
-    let asked_at = gateway.now();
+    let requested_at = gateway.now();
 
     let Some(after) = after else {
         let snapshot = store.read_operator().await?;
         let version = snapshot.version;
-        gateway.apply_operator_snapshot(snapshot, asked_at)?;
+        gateway.apply_operator_snapshot(snapshot, requested_at)?;
 
         return Ok(Some(version));
     };
@@ -97,7 +98,7 @@
             Ok(Some(version))
         }
         Watched::Quiet => {
-            gateway.record_operator_unchanged();
+            gateway.record_operator_current();
 
             Ok(Some(after))
         }
@@ -105,7 +106,7 @@
     }
 }
 
-/// Follows the list of targets until the task is dropped.
+/// Follows the target list until the task is dropped.
 pub async fn follow_targets<S: SiteStore>(gateway: Rc<Gateway>, store: S) {
     gateway.relay.wait_for_gateways().await;
     let mut backoff = Backoff::new("targets");
@@ -114,11 +115,11 @@
     loop {
         match next_targets(&gateway, &store, after).await {
             Ok(next) => {
-                backoff.succeeded();
+                backoff.reset();
                 gateway.counters.store_calls.add("answered");
                 after = next;
 
-                // A relay has paused already.
+                // A relay has already waited between its own calls.
                 if !gateway.relay.follows_relay() {
                     sleep(gateway.settings().targets_pause()).await;
                 }
@@ -130,12 +131,14 @@
                     targets.record_store_failure();
                     Vec::new()
                 });
-                backoff.failed(&error).await;
+                backoff.wait_after_failure(&error).await;
             }
         }
     }
 }
 
+/// Reads a snapshot of the target list, or waits for changes after a version. Returns the version
+/// to continue from, or `None` if a snapshot has to be read.
 async fn next_targets<S: SiteStore>(
     gateway: &Gateway,
     store: &S,
@@ -143,10 +146,10 @@
 ) -> Result<Option<StoreVersion>> {
     let Some(after) = after else {
         let snapshot = store.read_targets().await?;
-        let take = |targets: &mut TargetList, now| {
+        let apply = |targets: &mut TargetList, now| {
             targets.apply_snapshot(snapshot.version, snapshot.value, now)
         };
-        gateway.change_targets(take);
+        gateway.change_targets(apply);
         gateway.set_targets_known();
 
         return Ok(Some(snapshot.version));
--- a/grebedeck/tests/asked.rs
+++ b/grebedeck/tests/asked.rs
@@ -1,4 +1,4 @@
-//! Which gateways are asked while the store is away.
+//! Random selection of the peers that a gateway polls while the store is unavailable.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -10,28 +10,29 @@
     (0..count).map(|at| SocketAddr::from(([127, 0, 0, 1], 1000 + at))).collect()
 }
 
-/// 53 gateways that asked all others each 0.4 s had their links full of answers.
+/// 53 gateways that each polled all others every 0.4 s saturated their links with the responses.
 #[test]
-fn a_few_are_asked_at_a_time_and_all_of_them_in_turn() {
+fn each_poll_selects_a_few_peers_and_many_polls_reach_all() {
     let mut random = SeededSource::new(5);
     let all = peers(52);
-    let mut asked = BTreeSet::new();
+    let mut polled = BTreeSet::new();
 
     for round in 0..150 {
-        let some = sample_peers(all.clone(), 3, &mut random);
-        let different: BTreeSet<SocketAddr> = some.iter().copied().collect();
-        assert_eq!(different.len(), 3, "round {round}: {some:?}");
-        asked.extend(different);
+        let selected = sample_peers(all.clone(), 3, &mut random);
+        let distinct: BTreeSet<SocketAddr> = selected.iter().copied().collect();
+        assert_eq!(distinct.len(), 3, "round {round}: {selected:?}");
+        polled.extend(distinct);
     }
 
-    assert_eq!(asked, all);
+    assert_eq!(polled, all);
 }
 
 #[test]
-fn all_are_asked_where_there_are_few() {
+fn all_peers_are_selected_if_there_are_few() {
     let mut random = SeededSource::new(5);
-    let some: BTreeSet<SocketAddr> = sample_peers(peers(2), 3, &mut random).into_iter().collect();
+    let selected: BTreeSet<SocketAddr> =
+        sample_peers(peers(2), 3, &mut random).into_iter().collect();
 
-    assert_eq!(some, peers(2));
+    assert_eq!(selected, peers(2));
     assert!(sample_peers(peers(0), 3, &mut random).is_empty());
 }
--- a/grebedeck/tests/peers.rs
+++ b/grebedeck/tests/peers.rs
@@ -1,4 +1,5 @@
-//! Who talks to whom: few peers each, and yet no part of a fleet is left out.
+//! Choice of the peers that processes exchange configurations with: each has few, and changes still
+//! reach the whole fleet.
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -21,10 +22,10 @@
     (0..size).map(instance).collect()
 }
 
-/// Processes that news from the first one reaches, and the rounds that it takes. Whoever exchanges
-/// revisions with a peer is brought up by it, and brings it up.
+/// Returns the number of processes that a change of the first one reaches, and the rounds that it
+/// takes. An exchange of revisions with a peer updates whichever of the two is behind.
 fn reach(instances: &[Instance]) -> (usize, usize) {
-    let number: HashMap<SocketAddr, usize> =
+    let indices: HashMap<SocketAddr, usize> =
         instances.iter().enumerate().map(|(n, i)| (i.peer_address, n)).collect();
     let mut linked: Vec<HashSet<usize>> = vec![HashSet::new(); instances.len()];
 
@@ -33,28 +34,28 @@
         assert!(peers.len() <= PEERS && !peers.contains(&own.peer_address));
 
         for peer in peers {
-            linked[at].insert(number[&peer]);
-            linked[number[&peer]].insert(at);
+            linked[at].insert(indices[&peer]);
+            linked[indices[&peer]].insert(at);
         }
     }
 
-    let (mut known, mut rounds) = (HashSet::from([0]), 0);
+    let (mut reached, mut rounds) = (HashSet::from([0]), 0);
 
     loop {
         let next: HashSet<usize> =
-            known.iter().flat_map(|n| linked[*n].iter().copied().chain([*n])).collect();
+            reached.iter().flat_map(|n| linked[*n].iter().copied().chain([*n])).collect();
 
-        if next.len() == known.len() {
-            return (known.len(), rounds);
+        if next.len() == reached.len() {
+            return (reached.len(), rounds);
         }
 
-        known = next;
+        reached = next;
         rounds += 1;
     }
 }
 
 #[test]
-fn news_reaches_every_process_in_a_few_rounds() {
+fn a_change_reaches_every_process_in_a_few_rounds() {
     for (size, halls) in [(2, 1), (5, 3), (13, 3), (50, 12), (200, 12), (1_050, 12)] {
         let (reached, rounds) = reach(&fleet(size, halls));
 
@@ -64,22 +65,22 @@
 }
 
 #[test]
-fn a_hall_that_is_cut_off_still_reaches_all_of_its_own() {
+fn a_change_reaches_all_of_a_hall_that_is_cut_off() {
     let hall: Vec<Instance> = fleet(1_050, 12).into_iter().filter(|i| i.hall == "hall-3").collect();
 
     assert_eq!(reach(&hall).0, hall.len());
 }
 
 #[test]
-fn at_least_one_peer_stands_in_another_hall() {
+fn some_but_not_all_peers_are_in_other_halls() {
     let instances = fleet(60, 3);
 
     for own in &instances {
         let peers = choose_peers(&own.name, &own.hall, PEERS, &instances);
-        let far = instances
+        let in_other_halls = instances
             .iter()
             .filter(|i| peers.contains(&i.peer_address) && i.hall != own.hall)
             .count();
-        assert!((1..PEERS).contains(&far), "{}: {far}", own.name);
+        assert!((1..PEERS).contains(&in_other_halls), "{}: {in_other_halls}", own.name);
     }
 }
