--- a/grebedeck/src/gateway/cold.rs
+++ b/grebedeck/src/gateway/cold.rs
@@ -91,7 +91,8 @@
         targets.iter().filter(|t| !is_cold(t)).cloned().collect()
     }
 
-    /// Returns the targets without the cold ones whose rate limit is used up for now.
+    /// Returns the targets without those cold ones to which this gateway may not send a request
+    /// now.
     pub fn within_cold_limit(
         &self,
         targets: &Arc<[Arc<TargetEntry>]>,
--- a/grebedeck/src/gateway/gossip.rs
+++ b/grebedeck/src/gateway/gossip.rs
@@ -200,8 +200,8 @@
     for entry in listing.entries {
         let age = Duration::from_millis(unix_ms().saturating_sub(entry.written_unix_ms));
 
-        // A process removes entries when they expire; those of processes that are gone stay until
-        // now.
+        // A process releases its entries when they expire; those of processes that are gone are
+        // released here.
         if age <= RETENTION {
             gateway.restore_quarantined(entry.request, entry.trials);
         } else if let Err(error) = store.release(entry.request).await {
--- a/grebedeck/src/gateway/halls.rs
+++ b/grebedeck/src/gateway/halls.rs
@@ -23,7 +23,7 @@
 /// operators have.
 const MAX_LOGGED_KEYS: usize = 64;
 
-/// How complete and recent the known operator state are.
+/// How complete and recent the known operator state is.
 #[derive(Default)]
 pub struct OperatorView {
     has_hall_statuses: Cell<bool>,
--- a/grebedeck/src/gateway/health.rs
+++ b/grebedeck/src/gateway/health.rs
@@ -38,7 +38,7 @@
         self.table().service(service).is_some_and(|s| s.engine.is_some())
     }
 
-    /// Records the load, speed and group state that a rank's agent reports.
+    /// Records the load, speed and group state that a rank process reports.
     pub fn record_rank_load(&self, address: SocketAddr, load: &RankLoad) {
         self.hears_ranks.set(true);
         let found = self.targets.borrow().newest_at(address);
@@ -98,7 +98,8 @@
         }
     }
 
-    /// Records a rank's report that its group is open, which ends an outage of the service.
+    /// Records a rank's report that its group is open, that is, runs forward passes; this ends an
+    /// outage of the service.
     fn record_group_open(&self, target: &TargetEntry, load: &RankLoad) {
         let now = self.now();
         let service = target.service.as_str();
--- a/grebedeck/src/gateway/loads.rs
+++ b/grebedeck/src/gateway/loads.rs
@@ -1,7 +1,7 @@
-//! Datagrams from other processes, mainly load reports of a model's ranks from their agents.
+//! Datagrams from other processes, mainly load reports from rank processes.
 //!
-//! The load that a target reports in a response is as old as the response. The agents read their
-//! engines all the time and send the load to every gateway that has subscribed within the last
+//! The load that a target reports in a response is as old as the response. A rank process reads
+//! its engine all the time and sends the load to every gateway that has subscribed within the last
 //! seconds. A lost datagram is made up for by the next one.
 
 use std::net::SocketAddr;
@@ -71,7 +71,7 @@
     }
 }
 
-/// Sends a subscription to the agents of all model targets that this gateway selects from.
+/// Sends a subscription to the rank processes of all model targets that this gateway selects from.
 async fn send_subscriptions(gateway: &Gateway, socket: &UdpSocket) {
     let settings = gateway.settings();
     let own = SocketAddr::new(settings.ip, settings.group_port);
@@ -85,7 +85,7 @@
     });
 
     for address in addresses {
-        // Targets that have no agent or are gone do not answer, so errors are ignored.
+        // Targets that have no rank process or are gone do not answer, so errors are ignored.
         let to = SocketAddr::new(address.ip(), settings.group_port);
         drop(socket.send_to(&bytes, to).await);
     }
--- a/grebedeck/src/gateway/suspects.rs
+++ b/grebedeck/src/gateway/suspects.rs
@@ -2,10 +2,9 @@
 //!
 //! When an attempt breaks, the gateway probes the target.
 //! [`Quarantine`](grebedeck_routing::Quarantine) decides whether that was a crash, which requests
-//! are suspected of it, and which are quarantined. A request is checked three times: before it
-//! looks for a place on a target (including retries and resumed streams), while it waits in the
-//! queue, as soon as a decision on it is made, and once its connection to the target is
-//! established.
+//! are suspected of it, and which are quarantined. A request is checked at three points:
+//! before it looks for a place on a target, as retries and resumed streams do too; in the queue,
+//! when a decision on it is made; and once its connection to the target is established.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -92,7 +91,8 @@
         engine.is_some_and(|engine| !engine.form.is_zero())
     }
 
-    /// Checks a request where one more crash would stop a whole group.
+    /// Checks a request whose target's crash would stop a whole group: one that was running during
+    /// a recent crash is refused for a while, and one under a running probe waits for its result.
     fn cooldown_clearance(&self, request: &RoutedRequest) -> Clearance {
         let (fingerprint, now) = (request.fingerprint(), self.now());
         let quarantine = self.quarantine.borrow();
@@ -220,7 +220,7 @@
         self.record_quarantined(fingerprint, 0, "store");
     }
 
-    /// Schedules the next decision for the time at which it is due.
+    /// Schedules the next decision, if any, for the time at which it is due.
     fn schedule_decision(self: &Rc<Self>) {
         let Some(left) = self.quarantine.borrow().next_decision(self.now()) else {
             return;
