--- a/grebedeck/src/gateway.rs
+++ b/grebedeck/src/gateway.rs
@@ -4,6 +4,7 @@
 //! All of it runs on one thread: a gateway has a part of one core, and what it does for a request is
 //! too little to be worth handing over.
 
+pub mod assignment;
 pub mod attempt;
 pub mod buffer;
 pub mod caller;
@@ -13,7 +14,6 @@
 pub mod entering;
 pub mod gossip;
 pub mod halls;
-pub mod handout;
 pub mod health;
 pub mod hold;
 pub mod limits;
--- a/grebedeck/src/gateway/entering.rs
+++ b/grebedeck/src/gateway/entering.rs
@@ -10,7 +10,7 @@
 use grebedeck_core::Moment;
 use grebedeck_gateway::TargetId;
 
-use super::handout;
+use super::assignment;
 use super::hold;
 use super::place::{self, NoPlace, Place};
 use super::request::RoutedRequest;
@@ -47,7 +47,7 @@
                 gateway.waiting.with(service, |line| line.queue.note_at_once(urgency, now));
                 return Ok(Entered::Placed(place));
             }
-            Err(reason) => handout::record_obstacle(gateway, service, reason),
+            Err(reason) => assignment::record_obstacle(gateway, service, reason),
         }
     } else {
         gateway.waiting.with(service, |line| line.obstacle.reason).unwrap_or(NoPlace::Full)
@@ -67,7 +67,7 @@
     // Who goes before all others may find a place that is of no use to them.
     let is_next = |line: &mut Line| line.queue.peek(now).map(|(ticket, _)| ticket);
     if !is_first && gateway.waiting.with(service, is_next).flatten() == Some(line.ticket) {
-        handout::assign_places(gateway, service);
+        assignment::assign_places(gateway, service);
     }
 
     Ok(Entered::InLine(line))
@@ -110,7 +110,7 @@
     while let Some((ticket, wait)) =
         gateway.waiting.with(service, |line| line.queue.hopeless(waiter.urgency, now)).flatten()
     {
-        handout::answer_waiter(gateway, service, ticket, Err(NoPlace::Behind(wait)), now);
+        assignment::answer_waiter(gateway, service, ticket, Err(NoPlace::Behind(wait)), now);
     }
 
     Ok(())
@@ -161,7 +161,7 @@
 
     if let Some(ticket) = gateway.waiting.with(service, |l| l.queue.displaced_by(urgency)).flatten()
     {
-        handout::answer_waiter(gateway, service, ticket, Err(NoPlace::Full), now);
+        assignment::answer_waiter(gateway, service, ticket, Err(NoPlace::Full), now);
     }
 
     let pushed = gateway.waiting.with(service, |line| {
@@ -178,7 +178,7 @@
     gateway.counters.in_line.came(urgency);
 
     if needs_task {
-        let task = handout::serve_queue(gateway.clone(), service.clone());
+        let task = assignment::serve_queue(gateway.clone(), service.clone());
         gateway.tasks.spawn(task).detach();
     }
 
--- a/grebedeck/src/gateway/suspects.rs
+++ b/grebedeck/src/gateway/suspects.rs
@@ -19,7 +19,7 @@
 use grebedeck_routing::quarantine::ProbeResult;
 use grebedeck_routing::{Clearance, Fingerprint, Report, TargetStart};
 
-use super::handout;
+use super::assignment;
 use super::options::CONNECT_LIMIT;
 use super::place::NoPlace;
 use super::request::RoutedRequest;
@@ -258,7 +258,7 @@
 
             if let Clearance::Refuse(left) = self.clearance(&request) {
                 let reason = NoPlace::Quarantined(left);
-                handout::answer_waiter(self, &service, ticket, Err(reason), now);
+                assignment::answer_waiter(self, &service, ticket, Err(reason), now);
             }
         }
     }
--- a/grebedeck/src/gateway/waiting.rs
+++ b/grebedeck/src/gateway/waiting.rs
@@ -1,7 +1,7 @@
 //! Those who wait at this gateway for a place on a service's targets.
 //!
 //! Each service has one queue, whose order is [`grebedeck_admission`]'s. Requests get in line by [`super::entering`],
-//! and [`super::handout`] gives places to those who are next.
+//! and [`super::assignment`] gives places to those who are next.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap};
