--- a/grebedeck-lab/examples/local-site.rs
+++ b/grebedeck-lab/examples/local-site.rs
@@ -53,7 +53,7 @@
     );
     print_tour(entries[0], operator);
 
-    grebedeck::stop::signal().await?;
+    grebedeck::stop::wait_for_signal().await?;
     eprintln!("stopping");
 
     // A caller that never ends its stream must not keep the demonstration from stopping.
--- a/grebedeck/src/agent.rs
+++ b/grebedeck/src/agent.rs
@@ -11,7 +11,7 @@
 use grebedeck_kernel::{Kernel, log};
 use grebedeck_net::platform::{HttpEngine, Role};
 
-use crate::process::{self, Process, RoleParts};
+use crate::process::{self, Process, RoleServices};
 use crate::settings::{AgentSettings, millis};
 use group::GroupService;
 pub use service::AgentService;
@@ -48,10 +48,10 @@
             (kernel.register("group", service), engine)
         });
 
-        let parts = RoleParts {
+        let parts = RoleServices {
             agent: Some(agent),
             group: group.as_ref().map(|(group, _)| group.clone()),
-            ..RoleParts::default()
+            ..RoleServices::default()
         };
         let mut tasks = process.start(parts);
 
--- a/grebedeck/src/agent/crashes.rs
+++ b/grebedeck/src/agent/crashes.rs
@@ -43,7 +43,7 @@
     /// Gets what an entry is told of a request that was sent at `sent_at` and has no whole answer.
     pub(super) async fn failure(&self, sent_at: Moment) -> WorkVerdict {
         let address = self.target.address();
-        let (finding, _) = liveness::look(address, millis(CONNECT_LIMIT_MS), STAYS_OPEN).await;
+        let (finding, _) = liveness::probe(address, millis(CONNECT_LIMIT_MS), STAYS_OPEN).await;
 
         if finding != ProbeResult::Crashed {
             return WorkVerdict::TargetFailed;
--- a/grebedeck/src/config/service.rs
+++ b/grebedeck/src/config/service.rs
@@ -71,7 +71,7 @@
     }
 
     /// Takes in what the store or a peer offers; a newer revision is in force when this returns.
-    pub fn take(&self, offer: CatchUp) -> Adoption {
+    pub fn apply(&self, offer: CatchUp) -> Adoption {
         let mut replica = self.lock();
         let adoption = replica.take_each(offer, |replica, change| {
             let (revision, document) = (replica.revision(), replica.document());
@@ -82,7 +82,7 @@
 
             self.put_in_force(replica, routes);
         });
-        self.adoptions.add(adoption_word(adoption));
+        self.adoptions.add(adoption_label(adoption));
 
         if adoption == Adoption::Adopted {
             log::info!("configuration in force", kv: { revision = replica.revision() });
@@ -115,7 +115,7 @@
     }
 
     /// Notes that the table service has just been read.
-    pub fn store_answered(&self) {
+    pub fn record_store_answer(&self) {
         let now = self.clock.now();
         *self.store_seen.lock().unwrap_or_else(PoisonError::into_inner) = Some(now);
     }
@@ -169,7 +169,7 @@
     }
 }
 
-fn adoption_word(adoption: Adoption) -> &'static str {
+fn adoption_label(adoption: Adoption) -> &'static str {
     match adoption {
         Adoption::Adopted => "adopted",
         Adoption::Stale => "stale",
--- a/grebedeck/src/config/spread.rs
+++ b/grebedeck/src/config/spread.rs
@@ -68,7 +68,7 @@
 
 /// Gets the peers that a process exchanges its revision with: most from its own hall, and at least
 /// one from elsewhere where there is one.
-pub fn choose_peers(
+pub fn select_peers(
     name: &str,
     hall: &str,
     count: usize,
@@ -96,14 +96,14 @@
 
 /// What the loops of this module work with.
 #[derive(Clone)]
-pub struct Spread {
+pub struct ConfigSync {
     settings: CommonSettings,
     config: Arc<ConfigService>,
     members: Arc<Members>,
     directory: Arc<Directory>,
 }
 
-impl Spread {
+impl ConfigSync {
     /// Makes the spreading of a process.
     pub fn new(
         settings: CommonSettings,
@@ -111,7 +111,7 @@
         members: Arc<Members>,
         directory: Arc<Directory>,
     ) -> Self {
-        Spread { settings, config, members, directory }
+        ConfigSync { settings, config, members, directory }
     }
 
     /// Reads the store's head now and then until the task is dropped.
@@ -206,7 +206,7 @@
     fn peers(&self) -> Vec<SocketAddr> {
         let settings = &self.settings;
         let instances = self.members.all();
-        let chosen = choose_peers(&settings.name, &settings.hall, settings.peers, &instances);
+        let chosen = select_peers(&settings.name, &settings.hall, settings.peers, &instances);
 
         if chosen.is_empty() { settings.seed_peers.clone() } else { chosen }
     }
@@ -221,7 +221,7 @@
         };
 
         if let Some(catch_up) = catch_up {
-            self.config.take(catch_up);
+            self.config.apply(catch_up);
         }
 
         let behind = self.config.with_replica(|r| r.catch_up(theirs));
--- a/grebedeck/src/config/store.rs
+++ b/grebedeck/src/config/store.rs
@@ -69,7 +69,7 @@
             let until = head.min(own + ENTRIES_PER_READ);
             let entries = self.read_entries(own + 1, until).await?;
 
-            match self.service.take(CatchUp::Entries(entries)) {
+            match self.service.apply(CatchUp::Entries(entries)) {
                 // A stale offer means that a peer was faster.
                 Adoption::Adopted | Adoption::Stale => {}
                 adoption => return protocol_error(format!("the store's log: {adoption:?}")),
@@ -88,7 +88,7 @@
 
         if !value.is_null() {
             let snapshot: Snapshot = parse(value)?;
-            self.service.take(CatchUp::Snapshot(Box::new(snapshot)));
+            self.service.apply(CatchUp::Snapshot(Box::new(snapshot)));
         }
 
         Ok(())
@@ -109,7 +109,7 @@
         keys.extend(id.map(change_key));
 
         let mut values = self.table.read(&keys).await?;
-        self.service.store_answered();
+        self.service.record_store_answer();
 
         let head = values.remove(HEAD_KEY).unwrap_or_default();
         let known = id.and_then(|id| values.remove(&change_key(id))).unwrap_or_default();
@@ -178,7 +178,7 @@
 
         match self.table.write(&transaction).await {
             Ok(TransactionEnd::Written) => {
-                self.service.take(CatchUp::Entries(vec![entry.clone()]));
+                self.service.apply(CatchUp::Entries(vec![entry.clone()]));
                 StoreAnswer::Written
             }
             Ok(TransactionEnd::Conflict) => StoreAnswer::Conflict,
--- a/grebedeck/src/directory.rs
+++ b/grebedeck/src/directory.rs
@@ -71,7 +71,7 @@
     /// Completes when a peer no longer answers, be it dead, frozen or cut off.
     ///
     /// A frozen process keeps its connections, so that waiting on them alone shows nothing.
-    pub async fn silent(&self, address: SocketAddr) {
+    pub async fn wait_until_unresponsive(&self, address: SocketAddr) {
         loop {
             async_std::task::sleep(LIVENESS_PERIOD).await;
 
--- a/grebedeck/src/entry.rs
+++ b/grebedeck/src/entry.rs
@@ -11,7 +11,7 @@
 use grebedeck_net::http::{ServerOptions, serve_http};
 use grebedeck_net::platform::{HttpTable, Role};
 
-use crate::process::{self, Process, RoleParts};
+use crate::process::{self, Process, RoleServices};
 use crate::settings::{EntrySettings, millis};
 use service::EntryService;
 use suspects::Gossip;
@@ -45,7 +45,7 @@
         let limit = millis(settings.common.platform_limit_ms);
         let table = HttpTable::new(settings.common.table_address, limit);
         let mut tasks =
-            process.start(RoleParts { suspects: Some(suspects), ..RoleParts::default() });
+            process.start(RoleServices { suspects: Some(suspects), ..RoleServices::default() });
 
         tasks.push(async_std::task::spawn(gossip.clone().keep(table)));
         tasks.push(async_std::task::spawn(gossip.follow()));
--- a/grebedeck/src/entry/answer.rs
+++ b/grebedeck/src/entry/answer.rs
@@ -118,7 +118,7 @@
     /// Reads the next frame, as long as the agent shows that it is there.
     async fn next_frame(&mut self) -> Result<FromAgent> {
         let reading = self.reader.expect();
-        let silent = self.in_flight.entry().directory.silent(self.agent_address);
+        let silent = self.in_flight.entry().directory.wait_until_unresponsive(self.agent_address);
         futures::pin_mut!(reading, silent);
 
         match futures::future::select(reading, silent).await {
--- a/grebedeck/src/entry/attempt.rs
+++ b/grebedeck/src/entry/attempt.rs
@@ -147,7 +147,7 @@
 
         let answered = {
             let talking = self.talk(request, &hello, &mut stream);
-            let silent = self.entry.directory.silent(agent_address);
+            let silent = self.entry.directory.wait_until_unresponsive(agent_address);
             futures::pin_mut!(talking, silent);
 
             match futures::future::select(talking, silent).await {
--- a/grebedeck/src/gateway.rs
+++ b/grebedeck/src/gateway.rs
@@ -86,7 +86,7 @@
     store: S,
 ) -> anyhow::Result<Rc<Gateway>> {
     let caller_listener = process::bind(&mut settings.caller_address).await?;
-    limit_accepted(&caller_listener, options::UNREAD_BYTES)?;
+    limit_accepted(&caller_listener, options::SOCKET_BUFFER_BYTES)?;
     let ready_listener = process::bind(&mut settings.ready_address).await?;
     let peer_listener = process::bind(&mut settings.peer_address).await?;
     let metrics_listener = process::bind(&mut settings.metrics_address).await?;
@@ -139,7 +139,7 @@
 async fn accept(gateway: Rc<Gateway>, listener: TcpListener) {
     loop {
         // Whoever comes beyond that waits in the listener's queue.
-        if gateway.stop.callers() >= gateway.settings().max_callers {
+        if gateway.stop.connections() >= gateway.settings().max_callers {
             async_std::task::sleep(ACCEPT_PAUSE).await;
             continue;
         }
@@ -161,8 +161,8 @@
 async fn housekeeping(gateway: Rc<Gateway>) {
     loop {
         async_std::task::sleep(options::HOUSEKEEPING_PERIOD).await;
-        gateway.drop_lapsed();
-        gateway.log_left_out();
+        gateway.remove_lapsed_targets();
+        gateway.log_suppressed_traces();
         gateway.forget_warm();
         gateway.forget_limits();
         gateway.refusals.borrow_mut().remove_expired(gateway.now());
--- a/grebedeck/src/gateway/attempt.rs
+++ b/grebedeck/src/gateway/attempt.rs
@@ -12,7 +12,7 @@
 use grebedeck_http::{BodyDecoder, Connection, Decoded, HttpError, ResponseHead, response_framing};
 
 use super::opened::{Opened, Sent};
-use super::options::{CONNECT_LIMIT, MAX_ANSWER_HEAD_BYTES, UNREAD_BYTES};
+use super::options::{CONNECT_LIMIT, MAX_ANSWER_HEAD_BYTES, SOCKET_BUFFER_BYTES};
 use super::place::Place;
 use super::refusing::refusal_cause;
 use super::request::RoutedRequest;
@@ -49,7 +49,7 @@
         let now = self.gateway.now();
         let (id, birth) = (&self.target.id, self.target.born_ms);
         self.gateway.chooser.borrow_mut().record_end_at_start(id, birth, self.success, now);
-        self.gateway.freed.notify(usize::MAX);
+        self.gateway.slot_freed.notify(usize::MAX);
     }
 }
 
@@ -97,7 +97,7 @@
         // said to be out 36 times in 9 s while eleven of its sixteen targets served.
         _ if failure.refusal.is_some_and(|refusal| refusal.asked.is_some()) => {}
         // The target that was meant is gone, and another has its address.
-        FailureCause::OtherTarget => gateway.change_targets(|targets, _| {
+        FailureCause::OtherTarget => gateway.update_targets(|targets, _| {
             targets.remove(target);
             Vec::new()
         }),
@@ -172,7 +172,7 @@
         Some(connection) => connection,
         None => {
             let new = Connection::connect(target.address, CONNECT_LIMIT.min(left)).await?;
-            new.limit_unread(UNREAD_BYTES)?;
+            new.limit_unread(SOCKET_BUFFER_BYTES)?;
             new
         }
     };
--- a/grebedeck/src/gateway/caller.rs
+++ b/grebedeck/src/gateway/caller.rs
@@ -15,7 +15,7 @@
 
 use super::buffer::Buffer;
 use super::mechanism::Mechanism;
-use super::options::{NO_MEMORY_WAIT, READ_AHEAD_BYTES, SITE_WAIT};
+use super::options::{CONFIGURATION_WAIT, NO_MEMORY_RETRY_AFTER, READ_AHEAD_BYTES};
 use super::request::{CallerRequest, RoutedRequest};
 use super::service::Gateway;
 use super::trace::{Decision, End, Trace};
@@ -54,7 +54,7 @@
 
 /// Serves a connection until it ends.
 pub async fn serve(gateway: Rc<Gateway>, stream: TcpStream) {
-    let _connected = stop::connected(&gateway);
+    let _connected = stop::count_connection(&gateway);
     let mut connection = Connection::new(stream);
     let mut is_new = true;
 
@@ -66,7 +66,7 @@
             return;
         }
 
-        let _serving = stop::serving(&gateway);
+        let _serving = stop::count_request(&gateway);
 
         if serve_one(&gateway, &mut connection).await == After::Close {
             return;
@@ -118,7 +118,7 @@
     let table = known_table(gateway).await;
     let leave = millis(gateway.settings().leave_ms);
 
-    if gateway.stop.refuses(leave, gateway.now()) {
+    if gateway.stop.refuses_requests(leave, gateway.now()) {
         gateway.counters.refusals.add("stopping");
         let answer = WholeAnswer::not_ready(&request, &gateway.names);
         return write_whole(gateway, connection, answer, After::Close).await;
@@ -165,7 +165,7 @@
     };
 
     let Some(answer) = answered else {
-        gateway.note_end(&routed.trace, End::CallerGone, false);
+        gateway.record_end(&routed.trace, End::CallerGone, false);
         return After::Close;
     };
     let took = gateway.now() - routed.request.arrived;
@@ -187,12 +187,12 @@
     is_late: bool,
 ) {
     if !matches!(written, Written::Stalled | Written::TimedOut) {
-        return gateway.note_end(&routed.trace, end, is_late);
+        return gateway.record_end(&routed.trace, end, is_late);
     }
 
     gateway.counters.unread.add("answer_stalled");
     routed.trace.add(gateway.now(), Decision::Unread { written, last_event_id: None });
-    gateway.note_end(&routed.trace, End::CallerStalled, is_late);
+    gateway.record_end(&routed.trace, End::CallerStalled, is_late);
 }
 
 /// Makes the answer to a request that the configuration does not allow.
@@ -206,7 +206,7 @@
     let trace = Trace::new(request.id(&gateway.names), request.arrived);
     trace.add(gateway.now(), Decision::Denied { reason, version });
     gateway.counters.refusals.add(reason.label());
-    gateway.note_end(&trace, answer.end(), false);
+    gateway.record_end(&trace, answer.end(), false);
 
     answer
 }
@@ -215,11 +215,11 @@
 async fn known_table(gateway: &Gateway) -> Rc<RouteTable> {
     let known = async {
         while gateway.table().version() == 0 {
-            gateway.freed.listen().await;
+            gateway.slot_freed.listen().await;
         }
     };
     // A process that knows no configuration by then says so.
-    let _ = timeout(SITE_WAIT, known).await;
+    let _ = timeout(CONFIGURATION_WAIT, known).await;
 
     gateway.table()
 }
@@ -297,7 +297,7 @@
 
     if matches!(error, Unread::NoMemory) {
         gateway.counters.unread.add("body_no_memory");
-        let wait = format!("{:.3}", NO_MEMORY_WAIT.as_secs_f64());
+        let wait = format!("{:.3}", NO_MEMORY_RETRY_AFTER.as_secs_f64());
         head.headers.push(gateway.names.retry_after, wait);
     }
 
--- a/grebedeck/src/gateway/counters.rs
+++ b/grebedeck/src/gateway/counters.rs
@@ -7,38 +7,38 @@
 use grebedeck_kernel::{Counter, Histogram, Metrics};
 
 /// Urgencies that are told apart in metrics; the last one stands for all beyond.
-const URGENCY_WORDS: [&str; 4] = ["0", "1", "2", "3_and_more"];
+const URGENCY_LABELS: [&str; 4] = ["0", "1", "2", "3_and_more"];
 
 /// Gets the label of an urgency.
-pub fn urgency_word(urgency: u8) -> &'static str {
-    URGENCY_WORDS[urgency_class(urgency)]
+pub fn urgency_label(urgency: u8) -> &'static str {
+    URGENCY_LABELS[urgency_class(urgency)]
 }
 
 fn urgency_class(urgency: u8) -> usize {
-    usize::from(urgency).min(URGENCY_WORDS.len() - 1)
+    usize::from(urgency).min(URGENCY_LABELS.len() - 1)
 }
 
 /// Requests in line, by the urgency of their routes.
 #[derive(Clone, Default)]
-pub struct InLineCounts {
-    counts: Arc<[AtomicUsize; URGENCY_WORDS.len()]>,
+pub struct WaitingCounts {
+    counts: Arc<[AtomicUsize; URGENCY_LABELS.len()]>,
 }
 
-impl InLineCounts {
+impl WaitingCounts {
     /// Notes that a request got in line.
-    pub fn came(&self, urgency: Urgency) {
+    pub fn increment(&self, urgency: Urgency) {
         self.counts[urgency_class(urgency.1)].fetch_add(1, Ordering::Relaxed);
     }
 
     /// Notes that a request is in line no longer.
-    pub fn left(&self, urgency: Urgency) {
+    pub fn decrement(&self, urgency: Urgency) {
         self.counts[urgency_class(urgency.1)].fetch_sub(1, Ordering::Relaxed);
     }
 
     fn read(&self) -> Vec<(&'static str, f64)> {
         let counts = self.counts.iter().map(|count| count.load(Ordering::Relaxed) as f64);
 
-        URGENCY_WORDS.into_iter().zip(counts).collect()
+        URGENCY_LABELS.into_iter().zip(counts).collect()
     }
 }
 
@@ -53,13 +53,13 @@
     /// Requests that got a place, by urgency.
     pub admitted: Counter,
     /// Requests that wait for a place.
-    pub in_line: InLineCounts,
+    pub waiting: WaitingCounts,
     /// Streams that another target went on with, by how that ended.
     pub resumes: Counter,
     /// Answers and bodies that nobody reads, by what became of them.
     pub unread: Counter,
     /// Repeats by whether the budget allowed them.
-    pub repeats: Counter,
+    pub retries: Counter,
     /// Calls to the store by what they were for and how they ended.
     pub store_calls: Counter,
     /// Calls for what the store holds, by whom they went to.
@@ -79,7 +79,7 @@
     /// Crashes of targets and the requests that ran under them, by what became of them.
     pub quarantine: Counter,
     /// Log lines that were left out, by kind.
-    pub left_out: Counter,
+    pub suppressed_lines: Counter,
     /// Time until an answer was whole, by the route's kind.
     pub answer_times: Histogram,
     /// Time until a stream's first event.
@@ -96,17 +96,17 @@
         let counter = |name, label, help| metrics.counter(name, label, help);
         let histogram = |name, label, help| metrics.histogram(name, label, help);
 
-        let in_line = InLineCounts::default();
-        let waiting = in_line.clone();
+        let waiting = WaitingCounts::default();
+        let gauge = waiting.clone();
         metrics.gauge_by(
             "grebedeck_gateway_waiting",
             "urgency",
             "Requests that wait for a place, by urgency",
-            move || waiting.read(),
+            move || gauge.read(),
         );
 
         Counters {
-            in_line,
+            waiting,
             admitted: counter(
                 "grebedeck_gateway_admitted",
                 "urgency",
@@ -133,7 +133,7 @@
                 "what",
                 "Answers and bodies that were given up as nobody reads them",
             ),
-            repeats: counter(
+            retries: counter(
                 "grebedeck_gateway_repeats",
                 "end",
                 "Repeats by whether the budget allowed them",
@@ -183,7 +183,7 @@
                 "kind",
                 "Crashes of targets, and what became of the requests that ran under them",
             ),
-            left_out: counter(
+            suppressed_lines: counter(
                 "grebedeck_gateway_stories_left_out",
                 "kind",
                 "Requests whose decisions were not logged, as too many were",
--- a/grebedeck/src/gateway/entering.rs
+++ b/grebedeck/src/gateway/entering.rs
@@ -38,7 +38,7 @@
     let now = gateway.now();
     let service = &request.service;
     let urgency = request.admitted.urgency();
-    gateway.waiting.make_line(&gateway.table(), gateway.is_ranked(service), service);
+    gateway.waiting.make_line(&gateway.table(), gateway.uses_urgency_order(service), service);
     let is_first = gateway.waiting.is_empty(service);
 
     let reason = if is_first {
@@ -175,7 +175,7 @@
     };
 
     request.trace.add(now, Decision::InLine { urgency, ahead });
-    gateway.counters.in_line.came(urgency);
+    gateway.counters.waiting.increment(urgency);
 
     if needs_task {
         let task = handout::serve_line(gateway.clone(), service.clone());
--- a/grebedeck/src/gateway/gossip.rs
+++ b/grebedeck/src/gateway/gossip.rs
@@ -47,7 +47,7 @@
     let mut ask_at = gateway.now();
 
     loop {
-        let news = gateway.suspects_news.listen();
+        let news = gateway.suspect_updates.listen();
         let report = gateway.quarantine.borrow_mut().take_updates();
         tell_all(&gateway, &socket, report).await;
         let now = gateway.now();
@@ -138,7 +138,7 @@
     let mut pause = RETRY_PAUSE;
 
     loop {
-        let news = gateway.suspects_news.listen();
+        let news = gateway.suspect_updates.listen();
 
         for change in gateway.quarantine.borrow_mut().take_stored_changes() {
             // What is newer of a request replaces what was to be stored.
--- a/grebedeck/src/gateway/halls.rs
+++ b/grebedeck/src/gateway/halls.rs
@@ -74,7 +74,7 @@
         unreadable.iter().for_each(|what| self.note_unreadable_key(what));
 
         if let Some(site) = site {
-            self.take_site(&site, "store");
+            self.apply_site(&site, "store");
         }
 
         match unreadable.first() {
@@ -88,7 +88,7 @@
         for change in changes {
             match change {
                 OperatorChange::Site(site) => {
-                    self.take_site(&site, "store");
+                    self.apply_site(&site, "store");
                 }
                 OperatorChange::Evacuated { version, hall } => {
                     self.take_halls("store", |halls, now| {
@@ -142,7 +142,7 @@
         let is_late = self.with_targets(|t| t.is_index_stale(HOUSEKEEPING_PERIOD, self.now()));
 
         if is_late {
-            self.drop_lapsed();
+            self.remove_lapsed_targets();
         }
     }
 
@@ -192,7 +192,7 @@
             }
         }
 
-        self.freed.notify(usize::MAX);
+        self.slot_freed.notify(usize::MAX);
     }
 
     fn note_unreadable_key(&self, what: &Unreadable) {
--- a/grebedeck/src/gateway/handout.rs
+++ b/grebedeck/src/gateway/handout.rs
@@ -12,7 +12,7 @@
 use grebedeck_core::{Moment, ServiceName};
 
 use super::hold;
-use super::options::{LOOK_PAUSE, MIN_WAIT, TRIAL_PAUSE};
+use super::options::{MIN_SLOT_WAIT, PROBE_INTERVAL, SLOT_POLL_PERIOD};
 use super::place::{self, NoPlace, Place};
 use super::service::Gateway;
 use super::waiting::Obstacle;
@@ -21,7 +21,7 @@
 pub async fn serve_line(gateway: Rc<Gateway>, service: ServiceName) {
     loop {
         // Listening begins before the look, so that no place is missed between them.
-        let freed = gateway.freed.listen();
+        let freed = gateway.slot_freed.listen();
         let Some(pause) = hand_out(&gateway, &service) else {
             gateway.waiting.with(&service, |line| line.is_served = false);
             return;
@@ -40,7 +40,7 @@
             Ok(place) => {
                 let next = gateway.waiting.with(service, |line| line.queue.pop(now)).flatten();
                 let (waiter, seeker) = next?;
-                gateway.counters.in_line.left(waiter.urgency);
+                gateway.counters.waiting.decrement(waiter.urgency);
                 // Who has left in this moment gives the place back.
                 drop(seeker.answer.send(Ok(place)));
             }
@@ -49,7 +49,7 @@
                 let next = gateway.waiting.with(service, |line| line.queue.next_give_up());
                 let left = next.flatten()?.saturating_sub(now);
 
-                return Some(pause(reason).min(left).max(MIN_WAIT));
+                return Some(pause(reason).min(left).max(MIN_SLOT_WAIT));
             }
         }
     }
@@ -58,13 +58,13 @@
 /// Gets the time until the next look where nothing is told before.
 fn pause(reason: NoPlace) -> Duration {
     match reason {
-        NoPlace::Paced(left) => left.min(TRIAL_PAUSE),
+        NoPlace::Paced(left) => left.min(PROBE_INTERVAL),
         NoPlace::Out(_)
         | NoPlace::NoTargets
         | NoPlace::Evacuated
         | NoPlace::Resting(_)
-        | NoPlace::Quarantined(_) => TRIAL_PAUSE,
-        NoPlace::Full | NoPlace::Behind(_) | NoPlace::Limited(_) => LOOK_PAUSE,
+        | NoPlace::Quarantined(_) => PROBE_INTERVAL,
+        NoPlace::Full | NoPlace::Behind(_) | NoPlace::Limited(_) => SLOT_POLL_PERIOD,
     }
 }
 
@@ -120,7 +120,7 @@
     let removed = gateway.waiting.with(service, |line| line.queue.remove(ticket, now)).flatten();
 
     if let Some((waiter, seeker)) = removed {
-        gateway.counters.in_line.left(waiter.urgency);
+        gateway.counters.waiting.decrement(waiter.urgency);
         // Who has left in this moment needs no answer.
         drop(seeker.answer.send(answer));
     }
--- a/grebedeck/src/gateway/health.rs
+++ b/grebedeck/src/gateway/health.rs
@@ -9,7 +9,9 @@
 use grebedeck_routing::LoadReport;
 
 use super::mechanism::Mechanism;
-use super::options::{GROUP_WORD_LIFETIME, OUTAGE_FAILURES, OVERDUE, START_LAG, TRIAL_PAUSE};
+use super::options::{
+    GROUP_REPORT_LIFETIME, OUTAGE_FAILURES, OVERDUE_ESTIMATE, PROBE_INTERVAL, PROCESS_START_TIME,
+};
 use super::pool::MAX_KEPT;
 use super::service::Gateway;
 use super::tried::FailureCause;
@@ -21,7 +23,7 @@
     pub fn max_kept(&self, service: &str) -> usize {
         let table = self.table();
         let cap = table.service(service).map_or(MAX_KEPT, |s| s.max_connections);
-        let part = cap / self.gateways() / 2;
+        let part = cap / self.gateway_count() / 2;
 
         part.clamp(1, MAX_KEPT)
     }
@@ -54,7 +56,7 @@
             waiting: load.waiting,
             slots: target.slots,
         };
-        self.note_load(&target.id, report);
+        self.record_load(&target.id, report);
         self.note_slowdown(&target.id, load.slowdown);
 
         self.groups.borrow_mut().insert(target.id.clone(), load.group);
@@ -102,7 +104,7 @@
         if self.with_outage(service, |outage| outage.record_open(load.group, load.formation, now)) {
             log::info!("group open", kv: { service, target = target.id.as_str() });
             self.refusals.borrow_mut().record_recovery(service, now);
-            self.freed.notify(usize::MAX);
+            self.slot_freed.notify(usize::MAX);
         }
     }
 
@@ -150,7 +152,7 @@
         if self.with_outage(service, |outage| outage.record_success(now)) {
             log::info!("service back", kv: { service });
             self.refusals.borrow_mut().record_recovery(service, now);
-            self.freed.notify(usize::MAX);
+            self.slot_freed.notify(usize::MAX);
         }
     }
 
@@ -184,14 +186,14 @@
         let form = table.service(service).and_then(|s| s.engine.as_ref()).map(|e| e.form);
         let stall = Duration::from_millis(self.settings().engine_stall_ms);
         // The first request of a process may find an outage that is as old as the start took.
-        let expected = (stall + form.unwrap_or_default()).saturating_sub(START_LAG);
+        let expected = (stall + form.unwrap_or_default()).saturating_sub(PROCESS_START_TIME);
 
         OutageOptions {
             failure_threshold: OUTAGE_FAILURES,
             expected_duration: expected,
-            overdue_estimate: OVERDUE,
-            report_lifetime: GROUP_WORD_LIFETIME,
-            probe_interval: TRIAL_PAUSE,
+            overdue_estimate: OVERDUE_ESTIMATE,
+            report_lifetime: GROUP_REPORT_LIFETIME,
+            probe_interval: PROBE_INTERVAL,
         }
     }
 }
--- a/grebedeck/src/gateway/hold.rs
+++ b/grebedeck/src/gateway/hold.rs
@@ -7,7 +7,7 @@
 use grebedeck_gateway::{TargetId, WaitLimitOptions};
 
 use super::mechanism::Mechanism;
-use super::options::{HOLD_LIMIT, HOLD_MARGIN, MAX_HOLD, URGENT_WAIT_PART};
+use super::options::{HOLD_LIMIT, HOLD_MARGIN, MAX_HOLD, URGENT_WAIT_FRACTION};
 use super::place::{self, NoPlace};
 use super::request::RoutedRequest;
 use super::service::Gateway;
@@ -24,7 +24,7 @@
         now + MAX_HOLD
     } else {
         let objective = request.admitted.rule.objective;
-        request.request.arrived + gateway.patience(&request.service, objective)
+        request.request.arrived + gateway.max_slot_wait(&request.service, objective)
     };
 
     until.min(request.deadline)
@@ -35,12 +35,12 @@
 pub fn can_be_in_time(gateway: &Gateway, request: &RoutedRequest) -> bool {
     let objective = request.admitted.rule.objective;
 
-    gateway.patience(&request.service, objective) > WaitLimitOptions::default().min_wait
+    gateway.max_slot_wait(&request.service, objective) > WaitLimitOptions::default().min_wait
 }
 
 /// Gets until when a request waits at first. Where requests differ in urgency the more urgent stay in line longer than
 /// the least urgent, who are the first to be told: at least as long as less urgent ones may, and for
-/// [`URGENT_WAIT_PART`] of their objective where they are late anyhow. On a day with three bursts over each other all
+/// [`URGENT_WAIT_FRACTION`] of their objective where they are late anyhow. On a day with three bursts over each other all
 /// of them were given up after 20 ms, in which the order decides nothing: of those in line at three gateways 61 in 100
 /// of the most urgent and 54 in 100 of the least urgent were refused.
 pub fn give_up_at(gateway: &Gateway, request: &RoutedRequest, start_by: Moment) -> Moment {
@@ -48,13 +48,13 @@
     let table = gateway.table();
     let outranks = table.has_less_urgent(service, request.admitted.urgency());
 
-    if !gateway.is_ranked(service) || !outranks {
+    if !gateway.uses_urgency_order(service) || !outranks {
         return start_by;
     }
 
     let longest = table.longest_objective(service, rule.priority).unwrap_or(rule.objective);
-    let late = rule.objective.mul_f64(URGENT_WAIT_PART);
-    let patience = gateway.patience(service, longest).max(late);
+    let late = rule.objective.mul_f64(URGENT_WAIT_FRACTION);
+    let patience = gateway.max_slot_wait(service, longest).max(late);
 
     (request.request.arrived + patience).max(start_by).min(request.deadline)
 }
--- a/grebedeck/src/gateway/limits.rs
+++ b/grebedeck/src/gateway/limits.rs
@@ -86,7 +86,7 @@
         };
         self.counters.limits.add(word);
         self.limits.changed.notify(usize::MAX);
-        self.freed.notify(usize::MAX);
+        self.slot_freed.notify(usize::MAX);
 
         if let Some(left_out) = self.limits.lines.borrow_mut().take_line(self.now()) {
             let target = target.id.as_str();
@@ -169,7 +169,7 @@
         }
 
         let targets = candidates.iter().map(|target| &**target);
-        let rate = self.limits.limits.borrow().rate(targets, self.gateways())?;
+        let rate = self.limits.limits.borrow().rate(targets, self.gateway_count())?;
         let wait_s = (ahead + 1) as f64 / rate.max(f64::MIN_POSITIVE);
 
         Some(Duration::from_secs_f64(wait_s.min(MAX_PERMIT_WAIT.as_secs_f64())))
--- a/grebedeck/src/gateway/loads.rs
+++ b/grebedeck/src/gateway/loads.rs
@@ -11,7 +11,7 @@
 use futures::FutureExt;
 
 use super::gossip;
-use super::options::{FIRST_WATCH_PERIOD, WATCH_PERIOD};
+use super::options::{FIRST_SUBSCRIBE_PERIOD, SUBSCRIBE_PERIOD};
 use super::quota;
 use super::service::Gateway;
 use crate::rank::message::{Body, Datagram, DatagramReader, MAX_DATAGRAM_BYTES};
@@ -64,7 +64,7 @@
 pub async fn subscribe(gateway: Rc<Gateway>, socket: Rc<UdpSocket>) {
     loop {
         ask(&gateway, &socket).await;
-        let period = if gateway.hears_ranks() { WATCH_PERIOD } else { FIRST_WATCH_PERIOD };
+        let period = if gateway.hears_ranks() { SUBSCRIBE_PERIOD } else { FIRST_SUBSCRIBE_PERIOD };
         async_std::task::sleep(period).await;
     }
 }
--- a/grebedeck/src/gateway/opened.rs
+++ b/grebedeck/src/gateway/opened.rs
@@ -9,7 +9,7 @@
 
 use super::attempt::InFlight;
 use super::buffer::Buffer;
-use super::options::{MAX_WHOLE_BYTES, MEMORY_WAIT};
+use super::options::{ANSWER_MEMORY_WAIT, MAX_BUFFERED_ANSWER_BYTES};
 use super::request::RoutedRequest;
 use super::service::Gateway;
 use super::tried::FailureCause;
@@ -57,18 +57,18 @@
     pub async fn read_whole(mut self) -> Result<(ResponseHead, Buffer), FailureCause> {
         let mut body = Buffer::new(&self.gateway.answers);
         // A known length is reserved at once, so that no two answers wait for each other's memory.
-        let len_bytes = self.decoder.left_bytes().unwrap_or(0).min(MAX_WHOLE_BYTES);
+        let len_bytes = self.decoder.left_bytes().unwrap_or(0).min(MAX_BUFFERED_ANSWER_BYTES);
 
-        if !body.reserve(len_bytes, MEMORY_WAIT).await {
+        if !body.reserve(len_bytes, ANSWER_MEMORY_WAIT).await {
             return Err(FailureCause::NoMemory);
         }
 
         while let Some(part) = self.next_part_of_whole().await? {
-            if body.len() + part.len() > MAX_WHOLE_BYTES {
+            if body.len() + part.len() > MAX_BUFFERED_ANSWER_BYTES {
                 return Err(FailureCause::Broken);
             }
 
-            if !body.push(&part) && !body.push_later(&part, MEMORY_WAIT).await {
+            if !body.push(&part) && !body.push_later(&part, ANSWER_MEMORY_WAIT).await {
                 return Err(FailureCause::NoMemory);
             }
         }
--- a/grebedeck/src/gateway/options.rs
+++ b/grebedeck/src/gateway/options.rs
@@ -22,40 +22,40 @@
 /// Longest head of a target's answer, in bytes.
 pub const MAX_ANSWER_HEAD_BYTES: usize = 64 << 10;
 /// Longest answer that is read whole before the caller gets it, in bytes.
-pub const MAX_WHOLE_BYTES: usize = 8 << 20;
+pub const MAX_BUFFERED_ANSWER_BYTES: usize = 8 << 20;
 /// Longest event of a stream that another target may go on with, in bytes; an event holds some tokens.
 pub const MAX_EVENT_BYTES: usize = 256 << 10;
 /// How long an answer waits for memory before it is given up. A target cuts off an answer that stays unread for
 /// some seconds.
-pub const MEMORY_WAIT: Duration = Duration::from_secs(1);
+pub const ANSWER_MEMORY_WAIT: Duration = Duration::from_secs(1);
 /// Time that a caller is told to wait where there is no memory for its body: slow callers' memory is back by then.
-pub const NO_MEMORY_WAIT: Duration = Duration::from_millis(500);
+pub const NO_MEMORY_RETRY_AFTER: Duration = Duration::from_millis(500);
 /// Unread bytes that the system keeps for each connection to a target, or to a caller in each direction; it takes
 /// twice as many. Some hundred events, or several whole answers; a target is held up beyond them. With no limit the
 /// system goes on to 6 MB for each connection.
-pub const UNREAD_BYTES: usize = 32 << 10;
+pub const SOCKET_BUFFER_BYTES: usize = 32 << 10;
 /// Bytes that are read ahead from a caller while its request is served: one read's worth, as up to
 /// `max_callers` may send some.
 pub const READ_AHEAD_BYTES: usize = 4 << 10;
 /// How long a caller is told to wait while no target of a service is known: the list of targets is read
 /// again within it.
-pub const NO_TARGETS_WAIT: Duration = Duration::from_millis(500);
+pub const NO_TARGETS_RETRY_AFTER: Duration = Duration::from_millis(500);
 /// Callers that find all places taken and are told to come back are spread over this time at the least:
 /// some passes, so that they do not begin in the same one.
-pub const MIN_RETURN_SPREAD: Duration = Duration::from_millis(200);
+pub const MIN_RETRY_SPREAD: Duration = Duration::from_millis(200);
 /// How long answers are taken to need where none was seen.
 pub const UNKNOWN_ANSWER_TIME: Duration = Duration::from_millis(500);
 /// Failures in a row after which a service is taken for out: more than one bad target has in a row.
 pub const OUTAGE_FAILURES: u32 = 4;
 /// How long a group's own word on whether it is open outweighs what requests show: some times as long as
 /// ranks are silent between two words.
-pub const GROUP_WORD_LIFETIME: Duration = Duration::from_millis(500);
+pub const GROUP_REPORT_LIFETIME: Duration = Duration::from_millis(500);
 /// Pause between two requests that find out whether a service is back.
-pub const TRIAL_PAUSE: Duration = Duration::from_millis(40);
+pub const PROBE_INTERVAL: Duration = Duration::from_millis(40);
 /// What is told of a service that is out for longer than was expected.
-pub const OVERDUE: Duration = Duration::from_millis(1000);
+pub const OVERDUE_ESTIMATE: Duration = Duration::from_millis(1000);
 /// Time that a machine needs to start this process, which an outage found at its start has lasted.
-pub const START_LAG: Duration = Duration::from_millis(600);
+pub const PROCESS_START_TIME: Duration = Duration::from_millis(600);
 /// A service that is expected back within this time is waited for; a caller that is told to come back
 /// later than that loses more time than it saves.
 pub const HOLD_LIMIT: Duration = Duration::from_millis(600);
@@ -63,41 +63,41 @@
 pub const HOLD_MARGIN: Duration = Duration::from_millis(800);
 /// Part of its objective that a request waits for although it is late anyhow, where less urgent ones are refused before
 /// it: callers lose little by a refusal that comes within it.
-pub const URGENT_WAIT_PART: f64 = 0.25;
+pub const URGENT_WAIT_FRACTION: f64 = 0.25;
 /// Longest time that a request is held for a service that is out: callers leave a stream that says nothing
 /// for two seconds.
 pub const MAX_HOLD: Duration = Duration::from_millis(1800);
 /// How often a place is looked for while all are taken and somebody waits, as shorter pauses of a model's group make
 /// room and nothing tells it: a tenth of a pass, so that no pass goes by with room that was not given.
-pub const LOOK_PAUSE: Duration = Duration::from_millis(10);
+pub const SLOT_POLL_PERIOD: Duration = Duration::from_millis(10);
 /// Shortest wait before a place is looked for again.
-pub const MIN_WAIT: Duration = Duration::from_millis(1);
+pub const MIN_SLOT_WAIT: Duration = Duration::from_millis(1);
 /// Part of a group's time that may go into reading prompts. Half of it is what skew takes while experts
 /// are not placed well; twice the usual arrivals fit.
-pub const PROMPT_PART: f64 = 0.15;
+pub const PROMPT_FRACTION: f64 = 0.15;
 /// Time's worth of prompts that may begin at once, so that usual arrivals do not wait for each other.
 pub const PROMPT_BURST: Duration = Duration::from_millis(100);
 /// Targets of a service that a gateway deals with. Of a group of ranks that is a twelfth of the service it has some in
 /// its subset, so it knows whether the group is open; three are drawn for each request.
 const SUBSET: SubsetOptions = SubsetOptions { size: 64, in_other_halls: 16 };
 /// How often ranks are asked to tell their load.
-pub const WATCH_PERIOD: Duration = Duration::from_millis(1000);
+pub const SUBSCRIBE_PERIOD: Duration = Duration::from_millis(1000);
 /// The same while no rank has told anything yet, such as at the start.
-pub const FIRST_WATCH_PERIOD: Duration = Duration::from_millis(50);
+pub const FIRST_SUBSCRIBE_PERIOD: Duration = Duration::from_millis(50);
 /// How long requests for a model wait at the start until a rank has told whether its group is open: some
 /// of the pauses above. Without processes beside ranks nobody ever tells, and requests are sent then.
-pub const FIRST_LOAD_WAIT: Duration = Duration::from_millis(250);
+pub const FIRST_REPORT_WAIT: Duration = Duration::from_millis(250);
 /// Callers that are told to come back are spread over this time: twice the usual arrivals for as long as an
 /// outage lasts would fill a group at once.
-pub const RETURN_SPREAD: Duration = Duration::from_millis(800);
+pub const RETRY_SPREAD: Duration = Duration::from_millis(800);
 /// How much later than a model's group is expected back callers are told to come: its experts lie as they
 /// were dealt, and it takes half of the usual requests until its first placement is in use.
 pub const PLACEMENT_LAG: Duration = Duration::from_millis(600);
 /// How long a caller is told to wait while all targets of a service stand in evacuated halls: operators take a hall
 /// back after seconds at the soonest.
-pub const EVACUATED_WAIT: Duration = Duration::from_millis(1000);
+pub const EVACUATED_RETRY_AFTER: Duration = Duration::from_millis(1000);
 /// How long a request is held at the start of the process, until the configuration is known.
-pub const SITE_WAIT: Duration = Duration::from_millis(300);
+pub const CONFIGURATION_WAIT: Duration = Duration::from_millis(300);
 /// How much later than asked the store may answer before it is taken for away: more than an answer takes
 /// when the store is slow.
 const STORE_GRACE: Duration = Duration::from_millis(600);
@@ -106,7 +106,7 @@
 
 /// Largest part of the memory for what is kept. The process itself takes some 10 MB at rest, of 112 MB on the
 /// smallest machine.
-const MAX_KEPT_PART: f64 = 0.75;
+const MAX_KEPT_FRACTION: f64 = 0.75;
 
 /// Settings of a gateway.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -262,7 +262,7 @@
     }
 
     /// Gets the names of the settings that are used only at the start and differ from others.
-    pub fn fixed_fields_that_differ(&self, others: &GatewaySettings) -> Vec<&'static str> {
+    pub fn changed_fixed_fields(&self, others: &GatewaySettings) -> Vec<&'static str> {
         let fields = [
             ("name", self.name != others.name),
             ("hall", self.hall != others.hall),
@@ -286,7 +286,7 @@
 impl GatewaySettings {
     /// Gets the age of the store's last answer beyond which it is taken for away: while it is there, it
     /// answers at least after each wait for a change of the configuration.
-    pub fn store_silence(&self) -> Duration {
+    pub fn max_store_silence(&self) -> Duration {
         self.store_wait() + STORE_GRACE
     }
 
@@ -309,13 +309,13 @@
     }
 
     /// Gets the age from which a relay does not pass on what it has, as its next call to the store should have ended.
-    pub fn relay_age_limit(&self) -> Duration {
-        self.store_wait() + self.targets_pause() + STORE_GRACE
+    pub fn max_relay_age(&self) -> Duration {
+        self.store_wait() + self.targets_poll_interval() + STORE_GRACE
     }
 
     /// Gets the pause between two reads of the list of targets, which heartbeats change all the time. A target
     /// that leaves is known within a quarter of the time that it goes on; no more is needed, and calls add up.
-    pub fn targets_pause(&self) -> Duration {
+    pub fn targets_poll_interval(&self) -> Duration {
         millis(self.leaving_ms) / 4
     }
 }
@@ -357,7 +357,7 @@
 
         let kept = self.kept.bodies + self.kept.answers;
 
-        if kept > MAX_KEPT_PART {
+        if kept > MAX_KEPT_FRACTION {
             faults.add(
                 "kept",
                 kept.to_string(),
--- a/grebedeck/src/gateway/peers.rs
+++ b/grebedeck/src/gateway/peers.rs
@@ -173,7 +173,7 @@
     loop {
         sleep(ASK_PERIOD).await;
 
-        if !gateway.is_store_away(gateway.settings().store_silence()) {
+        if !gateway.is_store_unavailable(gateway.settings().max_store_silence()) {
             continue;
         }
 
@@ -222,15 +222,15 @@
     gateway.take_hall_words(&state.halls);
 
     if let Some(site) = state.site.filter(|_| gateway.operator.knows_halls()) {
-        gateway.take_site(&site, "peer");
+        gateway.apply_site(&site, "peer");
     }
 
-    gateway.change_targets(|targets, now| {
+    gateway.update_targets(|targets, now| {
         targets.apply_snapshot(state.targets_version, state.targets, now)
     });
 
     if state.targets_version > 0 {
-        gateway.set_targets_known();
+        gateway.record_targets_known();
     }
 }
 
--- a/grebedeck/src/gateway/place.rs
+++ b/grebedeck/src/gateway/place.rs
@@ -8,11 +8,12 @@
 use grebedeck_gateway::{Availability, Permit, TargetEntry, TargetId};
 
 use super::attempt::InFlight;
-use super::counters::urgency_word;
+use super::counters::urgency_label;
 use super::entering::{self, Entered};
 use super::mechanism::Mechanism;
 use super::options::{
-    EVACUATED_WAIT, HOLD_LIMIT, MIN_RETURN_SPREAD, NO_TARGETS_WAIT, PLACEMENT_LAG, RETURN_SPREAD,
+    EVACUATED_RETRY_AFTER, HOLD_LIMIT, MIN_RETRY_SPREAD, NO_TARGETS_RETRY_AFTER, PLACEMENT_LAG,
+    RETRY_SPREAD,
 };
 use super::request::RoutedRequest;
 use super::service::Gateway;
@@ -119,8 +120,8 @@
         let spread = if is_spread { ProcessRandom::default().unit() } else { 0.0 };
 
         match self {
-            NoPlace::NoTargets => NO_TARGETS_WAIT.mul_f64(1.0 + spread),
-            NoPlace::Evacuated => EVACUATED_WAIT.mul_f64(1.0 + spread),
+            NoPlace::NoTargets => NO_TARGETS_RETRY_AFTER.mul_f64(1.0 + spread),
+            NoPlace::Evacuated => EVACUATED_RETRY_AFTER.mul_f64(1.0 + spread),
             NoPlace::Full | NoPlace::Behind(_) | NoPlace::Limited(_) => {
                 let left = match self {
                     NoPlace::Limited(left) => left,
@@ -128,11 +129,11 @@
                 };
                 let slot = gateway.return_slot(request, left).filter(|_| is_spread);
 
-                slot.unwrap_or_else(|| left + left.max(MIN_RETURN_SPREAD).mul_f64(spread))
+                slot.unwrap_or_else(|| left + left.max(MIN_RETRY_SPREAD).mul_f64(spread))
             }
-            NoPlace::Out(left) => left + PLACEMENT_LAG + RETURN_SPREAD.mul_f64(spread),
+            NoPlace::Out(left) => left + PLACEMENT_LAG + RETRY_SPREAD.mul_f64(spread),
             NoPlace::Resting(left) | NoPlace::Paced(left) | NoPlace::Quarantined(left) => {
-                left + RETURN_SPREAD.mul_f64(spread)
+                left + RETRY_SPREAD.mul_f64(spread)
             }
         }
     }
@@ -162,7 +163,7 @@
     match &found {
         Ok(_) => {
             counters.waits.note(now - began, "placed");
-            counters.admitted.add(urgency_word(request.admitted.rule.priority));
+            counters.admitted.add(urgency_label(request.admitted.rule.priority));
         }
         Err(reason) => {
             counters.waits.note(now - began, reason.word());
--- a/grebedeck/src/gateway/prompts.rs
+++ b/grebedeck/src/gateway/prompts.rs
@@ -7,7 +7,7 @@
 use grebedeck_gateway::{PromptLimiter, TargetEntry};
 
 use super::mechanism::Mechanism;
-use super::options::{FIRST_LOAD_WAIT, FIRST_WATCH_PERIOD, PROMPT_BURST, PROMPT_PART};
+use super::options::{FIRST_REPORT_WAIT, FIRST_SUBSCRIBE_PERIOD, PROMPT_BURST, PROMPT_FRACTION};
 use super::request::RoutedRequest;
 use super::service::Gateway;
 
@@ -15,7 +15,7 @@
     /// Gets the time until the next prompt may go to a service's group.
     pub fn prompt_wait(&self, service: &str, now: Moment) -> Duration {
         if self.waits_for_ranks(service, now) {
-            return FIRST_WATCH_PERIOD;
+            return FIRST_SUBSCRIBE_PERIOD;
         }
 
         if !self.uses(Mechanism::PromptRate) {
@@ -32,7 +32,7 @@
         let serving = self.serving(service).map_or(0, |all| all.len());
         let own: f64 = targets.iter().map(|t| f64::from(chooser.own_in_flight(&t.id))).sum();
         let all: f64 = targets.iter().map(|t| chooser.load_view(&t.id, now).in_flight).sum();
-        let sharing = self.gateways() as f64 * targets.len() as f64 / serving.max(1) as f64;
+        let sharing = self.gateway_count() as f64 * targets.len() as f64 / serving.max(1) as f64;
         let equal = 1.0 / sharing.max(1.0);
 
         (own / all.max(1.0)).clamp(equal, 1.0)
@@ -46,7 +46,7 @@
             return;
         };
         let targets = self.without_cold(&self.candidates(service), now);
-        let all_tokens_per_s = targets.len() as f64 * engine.read_tokens_per_s * PROMPT_PART;
+        let all_tokens_per_s = targets.len() as f64 * engine.read_tokens_per_s * PROMPT_FRACTION;
         let tokens_per_s = all_tokens_per_s * self.share(service, &targets, now);
         let tokens = request.request.prompt_tokens(&self.names).unwrap_or(engine.usual_prompt);
         let mut prompts = self.prompts.borrow_mut();
@@ -58,7 +58,7 @@
 
     /// Tells whether a request for a model should wait for the ranks' first word on their group.
     fn waits_for_ranks(&self, service: &str, now: Moment) -> bool {
-        let is_early = self.targets_known_at.get().is_none_or(|at| now < at + FIRST_LOAD_WAIT);
+        let is_early = self.targets_known_at.get().is_none_or(|at| now < at + FIRST_REPORT_WAIT);
 
         !self.hears_ranks() && is_early && self.is_model(service)
     }
--- a/grebedeck/src/gateway/quota.rs
+++ b/grebedeck/src/gateway/quota.rs
@@ -262,7 +262,7 @@
 
         if permits > 0 {
             self.counters.limits.add_many(u64::from(permits), "permits");
-            self.freed.notify(usize::MAX);
+            self.slot_freed.notify(usize::MAX);
         }
     }
 }
--- a/grebedeck/src/gateway/refusing.rs
+++ b/grebedeck/src/gateway/refusing.rs
@@ -23,7 +23,7 @@
     /// Takes in that a target leaves, if the head of an answer says so. It holds whichever request the answer is to.
     pub(super) fn note_leaving_word(&self, target: &TargetEntry, head: &ResponseHead) {
         if head.headers.all(self.names.leaving).any(says_leaving) {
-            self.change_targets(|targets, now| targets.record_leaving(target, now));
+            self.update_targets(|targets, now| targets.record_leaving(target, now));
         }
     }
 
@@ -50,7 +50,7 @@
                 waiting: load.waiting,
                 slots: load.slots,
             };
-            self.note_load(&target.id, report);
+            self.record_load(&target.id, report);
         }
     }
 
@@ -100,7 +100,7 @@
             log::info!("target takes requests again", kv: { target, left_out });
         }
 
-        self.freed.notify(usize::MAX);
+        self.slot_freed.notify(usize::MAX);
     }
 
     /// Notes that a request goes to a target, which may be on trial.
--- a/grebedeck/src/gateway/relay.rs
+++ b/grebedeck/src/gateway/relay.rs
@@ -599,7 +599,7 @@
     let feed = T::feed(&gateway.relay).borrow();
     let age = feed.age(gateway.now());
     // A process that was suspended has not noticed yet that its watch is over.
-    let is_old = age > gateway.settings().relay_age_limit();
+    let is_old = age > gateway.settings().max_relay_age();
 
     let is_cut_off = gateway.relay.relays.borrow().is_store_failing(gateway.now());
 
--- a/grebedeck/src/gateway/reload.rs
+++ b/grebedeck/src/gateway/reload.rs
@@ -19,7 +19,7 @@
 
     match read {
         Ok(new) => {
-            let fixed = new.fixed_fields_that_differ(&gateway.settings());
+            let fixed = new.changed_fixed_fields(&gateway.settings());
             gateway.set_settings(new);
             log::info!("reload", kv: {
                 cause, outcome = "in force", needs_restart = fixed.join(","),
--- a/grebedeck/src/gateway/service.rs
+++ b/grebedeck/src/gateway/service.rs
@@ -46,7 +46,7 @@
     pub metrics: Metrics,
     /// What it counts.
     pub counters: Counters,
-    traces: RefCell<LineBudget>,
+    trace_lines: RefCell<LineBudget>,
     /// The platform's header names.
     pub names: HeaderNames,
     /// Runs its tasks.
@@ -60,7 +60,7 @@
     /// Whether it is stopping.
     pub stop: StopState,
     /// Told whenever a place on a target may have become free.
-    pub freed: Event,
+    pub slot_freed: Event,
     /// The view of the targets' load and health.
     pub chooser: RefCell<Chooser>,
     clock: Clock,
@@ -70,20 +70,20 @@
     /// What is known of what operators have written.
     pub(super) operator: OperatorView,
     pub(super) hears_ranks: Cell<bool>,
-    budgets: RefCell<HashMap<ServiceName, WindowedRetryBudget>>,
+    retry_budgets: RefCell<HashMap<ServiceName, WindowedRetryBudget>>,
     site: RefCell<Option<Site>>,
     /// Whom this gateway follows, and what it has for those that follow it.
     pub(super) relay: RelayState,
     peers: RefCell<BTreeSet<SocketAddr>>,
     /// Gateways that are known, this one included.
-    gateways: Cell<usize>,
+    gateway_count: Cell<usize>,
     store_answered_at: Cell<Option<Moment>>,
     pub(super) outages: RefCell<HashMap<ServiceName, Outage>>,
     /// Groups of the models' ranks, as those told.
     pub(super) groups: RefCell<HashMap<TargetId, GroupId>>,
     pub(super) paces: RefCell<HashMap<ServiceName, Pacing>>,
     pub(super) prompts: RefCell<HashMap<ServiceName, PromptLimiter>>,
-    patience: RefCell<HashMap<ServiceName, WaitLimit>>,
+    wait_limits: RefCell<HashMap<ServiceName, WaitLimit>>,
     /// This gateway's part in targets that are cold.
     pub(super) cold: RefCell<ColdLimiter>,
     /// Targets that refuse requests or want rest.
@@ -99,11 +99,11 @@
     /// Requests that are not sent any more, and those that may have to be among them.
     pub(super) quarantine: RefCell<Quarantine>,
     /// Requests that were answered lately, of services whose targets' crashes stop others.
-    pub(super) answered: RefCell<CrashCooldown>,
+    pub(super) crash_cooldown: RefCell<CrashCooldown>,
     /// Told when it is known of a request whether it may be sent.
     pub(super) suspects_changed: Event,
     /// Told when there is something to tell other gateways, or to store.
-    pub(super) suspects_news: Event,
+    pub(super) suspect_updates: Event,
     /// Lines on targets that crash.
     pub(super) suspect_lines: RefCell<LineBudget>,
     /// Requests that wait for a place.
@@ -125,40 +125,40 @@
             settings: RefCell::new(Rc::new(settings)),
             counters: Counters::new(&metrics),
             metrics,
-            traces: RefCell::new(LineBudget::new(TRACES_PER_S)),
+            trace_lines: RefCell::new(LineBudget::new(TRACES_PER_S)),
             names,
             tasks,
             pool: Pool::default(),
             stop: StopState::default(),
-            freed: Event::new(),
+            slot_freed: Event::new(),
             clock: Clock::default(),
             table: RefCell::default(),
             targets: RefCell::default(),
             targets_known_at: Cell::default(),
             operator: OperatorView::default(),
             hears_ranks: Cell::new(false),
-            budgets: RefCell::default(),
+            retry_budgets: RefCell::default(),
             site: RefCell::default(),
             peers: RefCell::default(),
-            gateways: Cell::new(1),
+            gateway_count: Cell::new(1),
             store_answered_at: Cell::default(),
             outages: RefCell::default(),
             groups: RefCell::default(),
             paces: RefCell::default(),
             prompts: RefCell::default(),
-            patience: RefCell::default(),
+            wait_limits: RefCell::default(),
             cold: RefCell::default(),
             refusals: RefCell::default(),
             refusing_lines: RefCell::new(LineBudget::new(REFUSING_LINES_PER_S)),
             entry_lines: RefCell::new(LineBudget::new(ENTRY_LINES_PER_S)),
             quarantine: RefCell::default(),
-            answered: RefCell::default(),
+            crash_cooldown: RefCell::default(),
             suspects_changed: Event::new(),
-            suspects_news: Event::new(),
+            suspect_updates: Event::new(),
             suspect_lines: RefCell::new(LineBudget::new(SUSPECT_LINES_PER_S)),
             waiting: Waiting::default(),
         };
-        gateway.count_gateways();
+        gateway.update_gateway_count();
         gateway.set_evacuation_bound();
         gateway.targets.borrow_mut().set_subset_view(gateway.settings().subset_view());
 
@@ -176,7 +176,7 @@
     }
 
     /// Puts a configuration in force if it is newer; tells whether it was.
-    pub fn take_site(&self, site: &Site, from: &str) -> bool {
+    pub fn apply_site(&self, site: &Site, from: &str) -> bool {
         let before = self.table.borrow().version();
 
         if site.version <= before {
@@ -189,13 +189,13 @@
         *self.site.borrow_mut() = Some(site.clone());
         let services = site.services.iter().map(|service| service.name.clone()).collect();
         self.targets.borrow_mut().set_services(services);
-        self.freed.notify(usize::MAX);
+        self.slot_freed.notify(usize::MAX);
         log::info!("configuration in force", kv: { version = site.version, before, from });
         true
     }
 
     /// Tells whether requests for a service are served by urgency.
-    pub fn is_ranked(&self, service: &str) -> bool {
+    pub fn uses_urgency_order(&self, service: &str) -> bool {
         self.uses(Mechanism::UrgencyOrder) && self.table.borrow().has_urgency_levels(service)
     }
 
@@ -207,16 +207,16 @@
     /// Sets the gateways that the store names.
     pub fn set_peers(&self, peers: BTreeSet<SocketAddr>) {
         *self.peers.borrow_mut() = peers;
-        self.count_gateways();
+        self.update_gateway_count();
     }
 
-    fn count_gateways(&self) {
-        self.gateways.set(self.peers().len() + 1);
+    fn update_gateway_count(&self) {
+        self.gateway_count.set(self.peers().len() + 1);
     }
 
     /// Gets the number of gateways that are known, this one included.
-    pub fn gateways(&self) -> usize {
-        self.gateways.get()
+    pub fn gateway_count(&self) -> usize {
+        self.gateway_count.get()
     }
 
     /// Gets the other gateways that are known.
@@ -230,46 +230,46 @@
     }
 
     /// Notes that the store has answered.
-    pub fn store_answered(&self) {
+    pub fn record_store_answer(&self) {
         self.store_answered_at.set(Some(self.now()));
     }
 
     /// Notes that the store did not answer as it should.
-    pub fn store_failed(&self) {
+    pub fn record_store_failure(&self) {
         self.store_answered_at.set(None);
     }
 
     /// Tells whether the store is away: it failed, or has not answered for a while.
-    pub fn is_store_away(&self, silence: Duration) -> bool {
+    pub fn is_store_unavailable(&self, silence: Duration) -> bool {
         self.store_answered_at.get().is_none_or(|at| self.now() >= at + silence)
     }
 
     /// Changes the list of targets and notes what follows.
-    pub fn change_targets(&self, change: impl FnOnce(&mut TargetList, Moment) -> Vec<ListEvent>) {
+    pub fn update_targets(&self, change: impl FnOnce(&mut TargetList, Moment) -> Vec<ListEvent>) {
         let now = self.now();
         let events = change(&mut self.targets.borrow_mut(), now);
 
         for event in &events {
-            self.note_list_event(event);
+            self.handle_list_event(event);
         }
 
         self.note_heard();
 
         if !events.is_empty() {
-            self.freed.notify(usize::MAX);
+            self.slot_freed.notify(usize::MAX);
         }
     }
 
     /// Notes that the list of targets was read whole.
-    pub fn set_targets_known(&self) {
+    pub fn record_targets_known(&self) {
         if self.targets_known_at.get().is_none() {
             self.targets_known_at.set(Some(self.now()));
         }
     }
 
     /// Drops targets that have lapsed.
-    pub fn drop_lapsed(&self) {
-        self.change_targets(TargetList::tick);
+    pub fn remove_lapsed_targets(&self) {
+        self.update_targets(TargetList::tick);
     }
 
     /// Looks at the list of targets.
@@ -298,21 +298,21 @@
     }
 
     /// Notes the first attempt of a request for a service.
-    pub fn earn_repeat(&self, service: &str) {
+    pub fn record_first_attempt(&self, service: &str) {
         let now = self.now();
 
-        self.with_budget(service, |budget| budget.record_request(now));
+        self.with_retry_budget(service, |budget| budget.record_request(now));
     }
 
     /// Takes one repeat of a service's budget, where there is one left.
-    pub fn take_repeat(&self, service: &str) -> bool {
+    pub fn try_acquire_retry(&self, service: &str) -> bool {
         let now = self.now();
 
-        self.with_budget(service, |budget| budget.try_acquire(now))
+        self.with_retry_budget(service, |budget| budget.try_acquire(now))
     }
 
     /// Tells whether a request may be sent to another target, and takes the repeat for it.
-    pub fn may_send_again(&self, request: &RoutedRequest, tried: &Tried) -> bool {
+    pub fn authorize_retry(&self, request: &RoutedRequest, tried: &Tried) -> bool {
         let rule = &request.admitted.rule;
         let now = self.now();
         let refused = if !answer::may_retry(rule.kind, tried.run_state()) {
@@ -321,13 +321,13 @@
             Some("sent often enough")
         } else if request.deadline <= now + MIN_ATTEMPT {
             Some("no time left")
-        } else if !self.take_repeat(&request.service) {
+        } else if !self.try_acquire_retry(&request.service) {
             Some("no budget left")
         } else {
             None
         };
 
-        self.counters.repeats.add(refused.unwrap_or("allowed"));
+        self.counters.retries.add(refused.unwrap_or("allowed"));
 
         if let Some(reason) = refused {
             request.trace.add(now, Decision::NotRepeated { reason });
@@ -337,8 +337,8 @@
     }
 
     /// Notes how long a target took for an answer or its first event.
-    pub fn note_answer_time(&self, service: &str, took: Duration) {
-        let mut patience = self.patience.borrow_mut();
+    pub fn record_answer_time(&self, service: &str, took: Duration) {
+        let mut patience = self.wait_limits.borrow_mut();
 
         match patience.get_mut(service) {
             Some(patience) => patience.record_answer(took),
@@ -351,23 +351,23 @@
     }
 
     /// Gets how long a request of a service may wait for a place and still be answered in time.
-    pub fn patience(&self, service: &str, objective: Duration) -> Duration {
+    pub fn max_slot_wait(&self, service: &str, objective: Duration) -> Duration {
         if !self.uses(Mechanism::Patience) {
             return WaitLimitOptions::default().min_wait;
         }
 
-        let patience = self.patience.borrow();
+        let patience = self.wait_limits.borrow();
 
         patience.get(service).map_or(objective, |patience| patience.max_wait(objective))
     }
 
     /// Gets the time that a service's targets usually take for an answer or its first event.
     pub fn usual_answer_time(&self, service: &str) -> Option<Duration> {
-        self.patience.borrow().get(service).map(WaitLimit::mean)
+        self.wait_limits.borrow().get(service).map(WaitLimit::mean)
     }
 
     /// Counts how a request ended, and logs its trace if it is of interest.
-    pub fn note_end(&self, trace: &Trace, end: End, is_late: bool) {
+    pub fn record_end(&self, trace: &Trace, end: End, is_late: bool) {
         let now = self.now();
         self.counters.requests.add(if is_late && end.word() == "served" {
             "served_late"
@@ -379,16 +379,16 @@
             return;
         }
 
-        if self.traces.borrow_mut().take(now) {
+        if self.trace_lines.borrow_mut().take(now) {
             trace.log(end, now);
         } else {
-            self.counters.left_out.add("story");
+            self.counters.suppressed_lines.add("story");
         }
     }
 
     /// Tells how many traces were not logged since this was done last.
-    pub fn log_left_out(&self) {
-        let count = self.traces.borrow_mut().take_left_out();
+    pub fn log_suppressed_traces(&self) {
+        let count = self.trace_lines.borrow_mut().take_left_out();
 
         if count > 0 {
             log::warn!("requests not logged", kv: { count });
@@ -413,27 +413,31 @@
         }
 
         *self.settings.borrow_mut() = Rc::new(settings);
-        self.count_gateways();
+        self.update_gateway_count();
         self.set_evacuation_bound();
     }
 
     /// Notes a target's load.
-    pub fn note_load(&self, target: &str, report: LoadReport) {
+    pub fn record_load(&self, target: &str, report: LoadReport) {
         let now = self.now();
 
         self.chooser.borrow_mut().record_report(target, report, now);
-        self.freed.notify(usize::MAX);
+        self.slot_freed.notify(usize::MAX);
     }
 
-    fn with_budget<T>(&self, service: &str, act: impl FnOnce(&mut WindowedRetryBudget) -> T) -> T {
+    fn with_retry_budget<T>(
+        &self,
+        service: &str,
+        act: impl FnOnce(&mut WindowedRetryBudget) -> T,
+    ) -> T {
         let retry = self.settings().retry;
         let all = WindowedRetryOptions {
             window: Duration::from_secs_f64(retry.window_s),
             ratio: retry.ratio,
             allowance: retry.allowance,
         };
-        let own = all.share_of(self.gateways(), retry.gateways);
-        let mut budgets = self.budgets.borrow_mut();
+        let own = all.share_of(self.gateway_count(), retry.gateways);
+        let mut budgets = self.retry_budgets.borrow_mut();
 
         match budgets.get_mut(service) {
             Some(budget) => {
@@ -446,7 +450,7 @@
         }
     }
 
-    fn note_list_event(&self, event: &ListEvent) {
+    fn handle_list_event(&self, event: &ListEvent) {
         match event {
             ListEvent::Listed(entry) => {
                 log::info!("target listed", kv: {
--- a/grebedeck/src/gateway/stop.rs
+++ b/grebedeck/src/gateway/stop.rs
@@ -30,23 +30,23 @@
     since: Cell<Option<Moment>>,
     began: Event,
     in_flight: Cell<usize>,
-    callers: Cell<usize>,
+    connections: Cell<usize>,
 }
 
 /// Counts a caller's connection until it is dropped.
-pub struct Connected(Rc<Gateway>);
+pub struct ConnectionGuard(Rc<Gateway>);
 
-impl Drop for Connected {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
-        let callers = &self.0.stop.callers;
-        callers.set(callers.get() - 1);
+        let connections = &self.0.stop.connections;
+        connections.set(connections.get() - 1);
     }
 }
 
 /// Counts a request as in flight until it is dropped.
-pub struct Serving(Rc<Gateway>);
+pub struct RequestGuard(Rc<Gateway>);
 
-impl Drop for Serving {
+impl Drop for RequestGuard {
     fn drop(&mut self) {
         let in_flight = &self.0.stop.in_flight;
         in_flight.set(in_flight.get() - 1);
@@ -60,7 +60,7 @@
     }
 
     /// Tells whether the process has been stopping for so long that a new request might not end in time.
-    pub fn refuses(&self, leave: Duration, now: Moment) -> bool {
+    pub fn refuses_requests(&self, leave: Duration, now: Moment) -> bool {
         self.since.get().is_some_and(|since| now >= since + leave)
     }
 
@@ -70,8 +70,8 @@
     }
 
     /// Gets the number of callers' connections.
-    pub fn callers(&self) -> usize {
-        self.callers.get()
+    pub fn connections(&self) -> usize {
+        self.connections.get()
     }
 
     /// Gets the number of requests in flight.
@@ -87,19 +87,19 @@
 }
 
 /// Counts a caller's connection.
-pub fn connected(gateway: &Rc<Gateway>) -> Connected {
-    let callers = &gateway.stop.callers;
-    callers.set(callers.get() + 1);
+pub fn count_connection(gateway: &Rc<Gateway>) -> ConnectionGuard {
+    let connections = &gateway.stop.connections;
+    connections.set(connections.get() + 1);
 
-    Connected(gateway.clone())
+    ConnectionGuard(gateway.clone())
 }
 
 /// Counts a request as in flight.
-pub fn serving(gateway: &Rc<Gateway>) -> Serving {
+pub fn count_request(gateway: &Rc<Gateway>) -> RequestGuard {
     let in_flight = &gateway.stop.in_flight;
     in_flight.set(in_flight.get() + 1);
 
-    Serving(gateway.clone())
+    RequestGuard(gateway.clone())
 }
 
 /// Waits for the signal to stop, then until nothing is in flight, within the limit.
--- a/grebedeck/src/gateway/stream.rs
+++ b/grebedeck/src/gateway/stream.rs
@@ -72,7 +72,7 @@
     connection: &mut Connection,
     after: After,
 ) -> After {
-    gateway.earn_repeat(&request.service);
+    gateway.record_first_attempt(&request.service);
     let mut relay = Relay {
         gateway,
         request,
@@ -92,7 +92,7 @@
         request.trace.add(gateway.now(), relay.tempo.decision(request.request.arrived));
     }
 
-    gateway.note_end(&request.trace, end, is_late);
+    gateway.record_end(&request.trace, end, is_late);
 
     after
 }
@@ -145,7 +145,7 @@
                 }
             }
 
-            if !self.gateway.may_send_again(self.request, &self.tried) {
+            if !self.gateway.authorize_retry(self.request, &self.tried) {
                 return self.give_up(None).await;
             }
         }
@@ -241,7 +241,7 @@
             return false;
         }
 
-        if !self.gateway.may_send_again(self.request, &self.tried) {
+        if !self.gateway.authorize_retry(self.request, &self.tried) {
             self.stays = true;
             return false;
         }
@@ -267,7 +267,7 @@
                 counters.first_event_times.note(first, "stream");
 
                 if let Some(placed_at) = self.placed_at {
-                    self.gateway.note_answer_time(&self.request.service, now - placed_at);
+                    self.gateway.record_answer_time(&self.request.service, now - placed_at);
                 }
 
                 self.tempo.is_late |= first > rule.objective;
--- a/grebedeck/src/gateway/suspects.rs
+++ b/grebedeck/src/gateway/suspects.rs
@@ -91,13 +91,13 @@
         let quarantine = self.quarantine.borrow();
         let suspicion = quarantine.suspicion(fingerprint);
 
-        if let Some(left) = self.answered.borrow().remaining(fingerprint, suspicion, now) {
+        if let Some(left) = self.crash_cooldown.borrow().remaining(fingerprint, suspicion, now) {
             self.counters.quarantine.add("held_back");
             return Clearance::Refuse(left);
         }
 
         match quarantine.probe_time_left(fingerprint, now) {
-            Some(left) if !self.answered.borrow().was_answered_recently(fingerprint) => {
+            Some(left) if !self.crash_cooldown.borrow().was_answered_recently(fingerprint) => {
                 Clearance::Wait(left)
             }
             _ => Clearance::Allow,
@@ -156,7 +156,7 @@
     /// Notes that a request was answered.
     pub(super) fn note_answered(&self, request: &RoutedRequest) {
         if self.stops_others(&request.service) {
-            self.answered.borrow_mut().record_answer(request.fingerprint());
+            self.crash_cooldown.borrow_mut().record_answer(request.fingerprint());
         }
 
         if self.quarantine.borrow().is_idle() {
@@ -176,7 +176,7 @@
     /// Has other gateways told, and the store, where there is something to tell.
     fn tell_news(&self) {
         if self.quarantine.borrow().has_updates() {
-            self.suspects_news.notify(usize::MAX);
+            self.suspect_updates.notify(usize::MAX);
         }
     }
 
@@ -284,7 +284,7 @@
 
 /// Finds out whether a target on which an attempt broke has crashed.
 async fn look_at(gateway: Rc<Gateway>, target: Arc<TargetEntry>, start: TargetStart) {
-    let (finding, connection) = liveness::look(target.address, CONNECT_LIMIT, STAYS_OPEN).await;
+    let (finding, connection) = liveness::probe(target.address, CONNECT_LIMIT, STAYS_OPEN).await;
 
     if let Some(connection) = connection {
         // It takes the place of the one that broke.
--- a/grebedeck/src/gateway/waiting.rs
+++ b/grebedeck/src/gateway/waiting.rs
@@ -79,7 +79,7 @@
             self.gateway.waiting.with(&self.service, |line| line.queue.remove(self.ticket, now));
 
         if let Some((waiter, _)) = left.flatten() {
-            self.gateway.counters.in_line.left(waiter.urgency);
+            self.gateway.counters.waiting.decrement(waiter.urgency);
         }
     }
 }
--- a/grebedeck/src/gateway/watch.rs
+++ b/grebedeck/src/gateway/watch.rs
@@ -59,12 +59,12 @@
             Ok(next) => {
                 backoff.succeeded();
                 gateway.counters.store_calls.add("answered");
-                gateway.store_answered();
+                gateway.record_store_answer();
                 after = next;
             }
             Err(error) => {
                 gateway.counters.store_calls.add("failed");
-                gateway.store_failed();
+                gateway.record_store_failure();
                 // What changed meanwhile is found by reading whole.
                 after = None;
                 backoff.failed(&error).await;
@@ -120,13 +120,13 @@
 
                 // A relay has paused already.
                 if !gateway.relay.follows_relay() {
-                    sleep(gateway.settings().targets_pause()).await;
+                    sleep(gateway.settings().targets_poll_interval()).await;
                 }
             }
             Err(error) => {
                 after = None;
                 gateway.counters.store_calls.add("failed");
-                gateway.change_targets(|targets, _| {
+                gateway.update_targets(|targets, _| {
                     targets.record_store_failure();
                     Vec::new()
                 });
@@ -146,15 +146,15 @@
         let take = |targets: &mut TargetList, now| {
             targets.apply_snapshot(snapshot.version, snapshot.value, now)
         };
-        gateway.change_targets(take);
-        gateway.set_targets_known();
+        gateway.update_targets(take);
+        gateway.record_targets_known();
 
         return Ok(Some(snapshot.version));
     };
 
     match store.watch_targets(after, gateway.settings().store_wait()).await? {
         Watched::Changed { version, changes } => {
-            gateway.change_targets(|targets, now| targets.apply_changes(version, changes, now));
+            gateway.update_targets(|targets, now| targets.apply_changes(version, changes, now));
 
             Ok(Some(version))
         }
--- a/grebedeck/src/gateway/whole.rs
+++ b/grebedeck/src/gateway/whole.rs
@@ -116,7 +116,7 @@
 
 /// Serves a request.
 pub async fn serve(gateway: &Rc<Gateway>, request: &Rc<RoutedRequest>) -> WholeAnswer {
-    gateway.earn_repeat(&request.service);
+    gateway.record_first_attempt(&request.service);
     let left = request.deadline.saturating_sub(gateway.now());
     let mut attempts = Attempts::default();
 
@@ -164,7 +164,7 @@
                 }
             }
 
-            if !gateway.may_send_again(request, &self.tried) {
+            if !gateway.authorize_retry(request, &self.tried) {
                 let reason = NoPlace::after_attempts(gateway, &request.service);
                 return self.give_up(gateway, request, reason);
             }
@@ -190,7 +190,7 @@
 
         match opened.read_whole().await {
             Ok((head, body)) => {
-                gateway.note_answer_time(&request.service, gateway.now() - began);
+                gateway.record_answer_time(&request.service, gateway.now() - began);
                 Ok((WholeAnswer::of_target(head, body), verdict))
             }
             Err(cause) => {
--- a/grebedeck/src/liveness.rs
+++ b/grebedeck/src/liveness.rs
@@ -8,16 +8,16 @@
 use grebedeck_routing::quarantine::ProbeResult;
 
 /// Connections that are tried until one stays open or is refused.
-const MAX_LOOKS: u32 = 3;
+const MAX_CONNECTS: u32 = 3;
 
 /// Finds out whether a target has crashed: it then refuses connections. One that is ending may still accept some, so
 /// a connection has to stay open for a while. Where the target is alive, the connection is given as well.
-pub async fn look(
+pub async fn probe(
     address: SocketAddr,
     connect_limit: Duration,
     stays_open: Duration,
 ) -> (ProbeResult, Option<Connection>) {
-    for _ in 0..MAX_LOOKS {
+    for _ in 0..MAX_CONNECTS {
         let mut connection = match Connection::connect(address, connect_limit).await {
             Ok(connection) => connection,
             Err(error) if error.is_refused() => return (ProbeResult::Crashed, None),
--- a/grebedeck/src/main.rs
+++ b/grebedeck/src/main.rs
@@ -109,7 +109,7 @@
 
 /// Waits for a signal, then for what is in flight.
 async fn run_until_stopped(kernel: &Kernel, drain_limit_ms: u64) -> Result<u8> {
-    stop::signal().await?;
+    stop::wait_for_signal().await?;
     let whole = stop::drain(kernel, millis(drain_limit_ms)).await;
 
     Ok(if whole { 0 } else { EXIT_UNKNOWN })
--- a/grebedeck/src/operator.rs
+++ b/grebedeck/src/operator.rs
@@ -26,7 +26,7 @@
 
 /// What the operators' port works with.
 #[derive(Clone)]
-pub struct Operator {
+pub struct OperatorApi {
     /// The process's services.
     pub kernel: Kernel,
     /// The process's metrics.
@@ -62,7 +62,7 @@
 }
 
 /// Serves the operators' port until the task is dropped.
-pub async fn serve_operator(listener: TcpListener, operator: Operator) {
+pub async fn serve_operator(listener: TcpListener, operator: OperatorApi) {
     let app = app(operator);
     let respond = move |request: http_types::Request, _| {
         let app = app.clone();
@@ -76,15 +76,15 @@
     serve_http(listener, ServerOptions::default(), respond, || ()).await;
 }
 
-fn app(operator: Operator) -> tide::Server<Operator> {
+fn app(operator: OperatorApi) -> tide::Server<OperatorApi> {
     let mut app = tide::with_state(operator);
 
     app.at("/health").get(health);
-    app.at("/dump").get(|request: Request<Operator>| async move {
+    app.at("/dump").get(|request: Request<OperatorApi>| async move {
         Body::from_json(&request.state().kernel.dump())
     });
     app.at("/metrics")
-        .get(|request: Request<Operator>| async move { Ok(request.state().metrics.text()) });
+        .get(|request: Request<OperatorApi>| async move { Ok(request.state().metrics.text()) });
     app.at("/config").get(get_config);
     app.at("/config/changes").post(post_change);
     app.at("/config/history").get(get_history);
@@ -94,7 +94,7 @@
 }
 
 /// Tells the platform's balancer whether the process takes requests.
-async fn health(request: Request<Operator>) -> tide::Result {
+async fn health(request: Request<OperatorApi>) -> tide::Result {
     let operator = request.state();
     let stopping = operator.kernel.dump()["entry"]["stopping"].as_bool().unwrap_or(false);
     let ready = operator.config.revision() > 0 && !stopping;
@@ -105,7 +105,7 @@
     Ok(response)
 }
 
-async fn get_config(request: Request<Operator>) -> tide::Result<Body> {
+async fn get_config(request: Request<OperatorApi>) -> tide::Result<Body> {
     let snapshot = request.state().config.with_replica(|r| r.snapshot());
 
     Body::from_json(&ConfigView { revision: snapshot.revision, document: snapshot.document })
@@ -117,7 +117,7 @@
     dry_run: bool,
 }
 
-async fn post_change(mut request: Request<Operator>) -> tide::Result {
+async fn post_change(mut request: Request<OperatorApi>) -> tide::Result {
     let query: ChangeQuery = request.query()?;
     let text = request.body_bytes().await?;
 
@@ -161,7 +161,7 @@
     Ok(response)
 }
 
-async fn get_history(request: Request<Operator>) -> tide::Result {
+async fn get_history(request: Request<OperatorApi>) -> tide::Result {
     let Some(store) = &request.state().store else {
         return Ok(Response::new(StatusCode::MethodNotAllowed));
     };
@@ -181,7 +181,7 @@
     revision: Revision,
 }
 
-async fn get_in_force(request: Request<Operator>) -> tide::Result<Body> {
+async fn get_in_force(request: Request<OperatorApi>) -> tide::Result<Body> {
     let query: InForceQuery = request.query()?;
     let operator = request.state();
     let instances = operator.members.all();
--- a/grebedeck/src/peer.rs
+++ b/grebedeck/src/peer.rs
@@ -77,7 +77,7 @@
                 catch_up: self.config.with_replica(|r| r.catch_up(revision)),
             },
             Control::CatchUp(catch_up) => {
-                self.config.take(catch_up);
+                self.config.apply(catch_up);
                 ControlAnswer::Taken
             }
             Control::Strike { attempt, incarnation } => match &self.agent {
--- a/grebedeck/src/process.rs
+++ b/grebedeck/src/process.rs
@@ -13,13 +13,13 @@
 
 use crate::agent::AgentService;
 use crate::agent::group::GroupService;
-use crate::config::spread::{Members, Spread};
+use crate::config::spread::{ConfigSync, Members};
 use crate::config::store::ConfigStore;
 use crate::config::{self, ConfigService};
 use crate::directory::{self, Directory};
 use crate::entry::suspects::Suspects;
 use crate::message::{PROTOCOL_VERSION, PeerHello};
-use crate::operator::{Operator, serve_operator};
+use crate::operator::{OperatorApi, serve_operator};
 use crate::peer::PeerHandler;
 use crate::settings::{CommonSettings, millis};
 use crate::wire;
@@ -47,7 +47,7 @@
 
 /// The services that only some roles have.
 #[derive(Default)]
-pub struct RoleParts {
+pub struct RoleServices {
     /// The agent's own service.
     pub agent: Option<Arc<AgentService>>,
     /// The group's service, beside a rank.
@@ -93,14 +93,14 @@
     }
 
     /// Starts the tasks that every role has.
-    pub fn start(self, parts: RoleParts) -> Vec<JoinHandle<()>> {
+    pub fn start(self, parts: RoleServices) -> Vec<JoinHandle<()>> {
         let limit = millis(self.settings.platform_limit_ms);
         let table = HttpTable::new(self.settings.table_address, limit);
         let list = HttpInstances::new(self.settings.instances_address, limit);
         let store = ConfigStore::new(table, self.config.clone());
 
         let handler = self.peer_handler(parts);
-        let operator = Operator {
+        let operator = OperatorApi {
             kernel: self.kernel,
             metrics: self.metrics,
             // Operators' changes go through the entries.
@@ -109,7 +109,7 @@
             members: self.members.clone(),
             directory: self.directory.clone(),
         };
-        let spread = Spread::new(self.settings, self.config, self.members, self.directory);
+        let spread = ConfigSync::new(self.settings, self.config, self.members, self.directory);
 
         vec![
             async_std::task::spawn(spread.clone().follow_instances(list)),
@@ -120,7 +120,7 @@
         ]
     }
 
-    fn peer_handler(&self, parts: RoleParts) -> PeerHandler {
+    fn peer_handler(&self, parts: RoleServices) -> PeerHandler {
         let faults = self.metrics.counter(
             "grebedeck_peer_faults",
             "on",
--- a/grebedeck/src/stop.rs
+++ b/grebedeck/src/stop.rs
@@ -8,7 +8,7 @@
 const IDLE_CHECK: Duration = Duration::from_millis(20);
 
 /// Waits for a signal to stop.
-pub async fn signal() -> anyhow::Result<()> {
+pub async fn wait_for_signal() -> anyhow::Result<()> {
     let (sender, receiver) = async_channel::bounded(1);
     ctrlc::set_handler(move || {
         let _ = sender.try_send(());
--- a/grebedeck/tests/peers.rs
+++ b/grebedeck/tests/peers.rs
@@ -3,7 +3,7 @@
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
 
-use grebedeck::config::spread::choose_peers;
+use grebedeck::config::spread::select_peers;
 use grebedeck_net::platform::{Instance, InstanceState, Role};
 
 const PEERS: usize = 4;
@@ -29,7 +29,7 @@
     let mut linked: Vec<HashSet<usize>> = vec![HashSet::new(); instances.len()];
 
     for (at, own) in instances.iter().enumerate() {
-        let peers = choose_peers(&own.name, &own.hall, PEERS, instances);
+        let peers = select_peers(&own.name, &own.hall, PEERS, instances);
         assert!(peers.len() <= PEERS && !peers.contains(&own.peer_address));
 
         for peer in peers {
@@ -75,7 +75,7 @@
     let instances = fleet(60, 3);
 
     for own in &instances {
-        let peers = choose_peers(&own.name, &own.hall, PEERS, &instances);
+        let peers = select_peers(&own.name, &own.hall, PEERS, &instances);
         let far = instances
             .iter()
             .filter(|i| peers.contains(&i.peer_address) && i.hall != own.hall)
--- a/grebedeck/tests/settings.rs
+++ b/grebedeck/tests/settings.rs
@@ -85,13 +85,13 @@
 fn the_store_is_asked_as_often_as_the_platforms_times_need() {
     let usual = parse::<GatewaySettings>(GATEWAY).expect("valid settings");
     assert_eq!(usual.store_wait(), Duration::from_secs(2));
-    assert_eq!(usual.targets_pause(), Duration::from_millis(500));
+    assert_eq!(usual.targets_poll_interval(), Duration::from_millis(500));
 
     let times = "\"leaving_ms\": 4000, \"catch_up_ms\": 6000, \"memory_mb\"";
     let longer = parse::<GatewaySettings>(&GATEWAY.replace("\"memory_mb\"", times));
     let longer = longer.expect("valid settings");
     assert_eq!(longer.store_wait(), Duration::from_secs(4));
-    assert_eq!(longer.targets_pause(), Duration::from_secs(1));
+    assert_eq!(longer.targets_poll_interval(), Duration::from_secs(1));
 
     let none = GATEWAY.replace("\"memory_mb\"", "\"leaving_ms\": 0, \"memory_mb\"");
     let faults = parse::<GatewaySettings>(&none).unwrap_err();
--- a/grebedeck/tests/withdrawn.rs
+++ b/grebedeck/tests/withdrawn.rs
@@ -56,7 +56,7 @@
     let entry = target(listener.local_addr().expect("its address"));
     let gateway = Rc::new(Gateway::new(settings(), NAMES, Tasks::default()));
     let listed = vec![ListedTarget { version: 1, entry: entry.clone() }];
-    gateway.change_targets(|targets, now| targets.apply_snapshot(1, listed, now));
+    gateway.update_targets(|targets, now| targets.apply_snapshot(1, listed, now));
     let request = request(&gateway);
     let chosen = Arc::new(entry.clone());
     let in_flight = InFlight::new(&gateway, &chosen);
@@ -101,10 +101,10 @@
 #[test]
 fn a_target_that_left_since_it_was_chosen_gets_nothing() {
     let leaves = |gateway: &Gateway, target: &TargetEntry| {
-        gateway.change_targets(|targets, now| targets.record_leaving(target, now));
+        gateway.update_targets(|targets, now| targets.record_leaving(target, now));
     };
     let is_gone = |gateway: &Gateway, _: &TargetEntry| {
-        gateway.change_targets(|targets, now| targets.apply_snapshot(2, vec![], now));
+        gateway.update_targets(|targets, now| targets.apply_snapshot(2, vec![], now));
     };
 
     assert_eq!(send_after(leaves), (FailureCause::Withdrawn, 0));
@@ -126,7 +126,7 @@
     let gateway = Rc::new(Gateway::new(settings(), NAMES, tasks.clone()));
     let entry = target(SocketAddr::from(([127, 0, 0, 1], 1)));
     let listed = vec![ListedTarget { version: 1, entry: entry.clone() }];
-    gateway.change_targets(|targets, now| targets.apply_snapshot(1, listed, now));
+    gateway.update_targets(|targets, now| targets.apply_snapshot(1, listed, now));
     let taken: Vec<InFlight> =
         (0..100).map(|_| InFlight::new(&gateway, &Arc::new(entry.clone()))).collect();
     let request = Rc::new(request(&gateway));
