--- a/grebedeck/src/gateway.rs
+++ b/grebedeck/src/gateway.rs
@@ -1,8 +1,8 @@
-//! The gateway: takes callers' requests and sends them straight to their targets.
+//! The gateway: accepts callers' requests and sends them directly to targets.
 //!
-//! It is an entry for platforms whose targets name themselves, so that no agent has to stand between.
-//! All of it runs on one thread: a gateway has a part of one core, and what it does for a request is
-//! too little to be worth handing over.
+//! It replaces the entry on platforms whose targets register themselves, so no agent is needed in
+//! between. It is single-threaded: a gateway has a fraction of one core, and the work per request
+//! is too small to be worth handing to another thread.
 
 pub mod attempt;
 pub mod buffer;
@@ -61,10 +61,10 @@
 
 pub use service::Gateway;
 
-/// Runs tasks on the thread that runs the process.
+/// Executor of the process's only thread.
 pub type Tasks = Rc<LocalExecutor<'static>>;
 
-/// Runs a gateway until it is told to stop and nothing is in flight any more.
+/// Runs a gateway until it is told to stop and no request is in flight, or the stop limit passes.
 pub async fn run<S: SiteStore>(
     tasks: Tasks,
     file: &Path,
@@ -78,7 +78,7 @@
     stop::run_until_stopped(&gateway, file).await
 }
 
-/// Starts a gateway; it listens when this returns, and runs as long as the tasks do.
+/// Starts a gateway; it is listening when this returns and runs as long as the tasks do.
 pub async fn start<S: SiteStore>(
     tasks: Tasks,
     mut settings: GatewaySettings,
@@ -123,7 +123,7 @@
     Ok(gateway)
 }
 
-/// Answers on one of the process's other ports.
+/// Serves one of the process's internal ports.
 fn serve_pages(
     gateway: &Rc<Gateway>,
     listener: TcpListener,
@@ -135,10 +135,10 @@
     gateway.tasks.spawn(pages::serve(gateway.tasks.clone(), listener, answer)).detach();
 }
 
-/// Takes callers' connections until the process stops.
+/// Accepts callers' connections until the process ends.
 async fn accept(gateway: Rc<Gateway>, listener: TcpListener) {
     loop {
-        // Whoever comes beyond that waits in the listener's queue.
+        // Connections beyond the limit wait in the listener's backlog.
         if gateway.stop.connections() >= gateway.settings().max_callers {
             async_std::task::sleep(ACCEPT_PAUSE).await;
             continue;
@@ -157,7 +157,7 @@
     }
 }
 
-/// Closes connections to targets that have rested for too long, and drops what has lapsed.
+/// Periodically closes idle connections to targets and removes expired state.
 async fn housekeeping(gateway: Rc<Gateway>) {
     loop {
         async_std::task::sleep(options::HOUSEKEEPING_PERIOD).await;
--- a/grebedeck/src/gateway/counters.rs
+++ b/grebedeck/src/gateway/counters.rs
@@ -1,4 +1,4 @@
-//! What a gateway counts.
+//! Counters and histograms of a gateway.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -6,10 +6,10 @@
 use grebedeck_admission::Urgency;
 use grebedeck_kernel::{Counter, Histogram, Metrics};
 
-/// Urgencies that are told apart in metrics; the last one stands for all beyond.
+/// Label values of the urgencies; the last one covers all higher ones.
 const URGENCY_LABELS: [&str; 4] = ["0", "1", "2", "3_and_more"];
 
-/// Gets the label of an urgency.
+/// Label value of an urgency.
 pub fn urgency_label(urgency: u8) -> &'static str {
     URGENCY_LABELS[urgency_class(urgency)]
 }
@@ -18,19 +18,19 @@
     usize::from(urgency).min(URGENCY_LABELS.len() - 1)
 }
 
-/// Requests in line, by the urgency of their routes.
+/// Number of requests that wait for a slot, by the urgency of their routes.
 #[derive(Clone, Default)]
 pub struct WaitingCounts {
     counts: Arc<[AtomicUsize; URGENCY_LABELS.len()]>,
 }
 
 impl WaitingCounts {
-    /// Notes that a request got in line.
+    /// Counts a request that starts to wait.
     pub fn increment(&self, urgency: Urgency) {
         self.counts[urgency_class(urgency.1)].fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Notes that a request is in line no longer.
+    /// Uncounts a request that no longer waits.
     pub fn decrement(&self, urgency: Urgency) {
         self.counts[urgency_class(urgency.1)].fetch_sub(1, Ordering::Relaxed);
     }
@@ -44,54 +44,54 @@
 
 /// Counters and histograms of a gateway.
 pub struct Counters {
-    /// Requests by what their callers got.
+    /// Requests by their outcome for the caller.
     pub requests: Counter,
-    /// Attempts by how they ended.
+    /// Attempts by their outcome.
     pub attempts: Counter,
-    /// Requests that were turned away, by reason.
+    /// Refused requests, by reason.
     pub refusals: Counter,
-    /// Requests that got a place, by urgency.
+    /// Requests that got a slot, by urgency.
     pub admitted: Counter,
-    /// Requests that wait for a place.
+    /// Requests that wait for a slot, by urgency.
     pub waiting: WaitingCounts,
-    /// Streams that another target went on with, by how that ended.
+    /// Streams that were resumed on another target, by outcome.
     pub resumes: Counter,
-    /// Answers and bodies that nobody reads, by what became of them.
+    /// Answers and bodies abandoned because nobody reads them, by kind.
     pub unread: Counter,
-    /// Repeats by whether the budget allowed them.
+    /// Retries by whether the budget allowed them, or the reason why not.
     pub retries: Counter,
-    /// Calls to the store by what they were for and how they ended.
+    /// Calls to the store by outcome.
     pub store_calls: Counter,
-    /// Calls for what the store holds, by whom they went to.
+    /// Calls for the contents of the store, by where they were sent.
     pub sources: Counter,
-    /// What other gateways answered while the store was away.
+    /// Answers of other gateways while the store was unavailable, by outcome.
     pub peer_answers: Counter,
-    /// News on evacuated halls, by what they say.
+    /// Halls that were evacuated or taken back.
     pub hall_news: Counter,
-    /// What was noticed of targets' starts and entries.
+    /// Starts of targets and faults in their entries, by kind.
     pub starts: Counter,
-    /// Looks for a place that met targets that are cold, by what became of those.
+    /// Requests sent to cold targets, and selections that skipped some, by kind.
     pub cold: Counter,
-    /// Targets that refuse, want rest or leave by their own word, and what becomes of them.
+    /// Refusals of targets and their notices of a pause or shutdown, by effect.
     pub refusing: Counter,
-    /// Limits that targets name, and requests to targets that have one.
+    /// Rate limits announced by targets, and requests to such targets, by kind.
     pub limits: Counter,
-    /// Crashes of targets and the requests that ran under them, by what became of them.
+    /// Crashes of targets, and the requests that were running, by what was done with them.
     pub quarantine: Counter,
-    /// Log lines that were left out, by kind.
+    /// Suppressed log lines, by kind.
     pub suppressed_lines: Counter,
-    /// Time until an answer was whole, by the route's kind.
+    /// Time until an answer was complete, by kind of route.
     pub answer_times: Histogram,
     /// Time until a stream's first event.
     pub first_event_times: Histogram,
-    /// Pauses between events of streams.
+    /// Pauses between the events of streams.
     pub pauses: Histogram,
-    /// Time that requests waited for a place.
+    /// Time that requests waited for a slot, by outcome.
     pub waits: Histogram,
 }
 
 impl Counters {
-    /// Makes the counters of a process.
+    /// Registers the counters and histograms of a gateway.
     pub fn new(metrics: &Metrics) -> Self {
         let counter = |name, label, help| metrics.counter(name, label, help);
         let histogram = |name, label, help| metrics.histogram(name, label, help);
--- a/grebedeck/src/gateway/dump.rs
+++ b/grebedeck/src/gateway/dump.rs
@@ -1,4 +1,4 @@
-//! The state of a gateway, for operators.
+//! Dump of a gateway's state for operators.
 
 use std::sync::Arc;
 
@@ -10,7 +10,7 @@
 use super::service::Gateway;
 
 impl Gateway {
-    /// Gets the state for a dump.
+    /// Current state as JSON.
     pub fn dump(&self) -> serde_json::Value {
         let now = self.now();
         let table = self.table();
@@ -46,8 +46,9 @@
 
         let quarantine = self.quarantine.borrow();
         let (crashes, suspects, _) = quarantine.len();
-        let held = quarantine.entries();
-        let held = held.map(|(r, trials)| json!({ "fingerprint": to_hex(r), "trials": trials }));
+        let quarantined = quarantine.entries();
+        let quarantined =
+            quarantined.map(|(r, trials)| json!({ "fingerprint": to_hex(r), "trials": trials }));
 
         json!({
             "name": self.settings().name,
@@ -62,7 +63,7 @@
             "kept_bytes": { "bodies": self.bodies.dump(), "answers": self.answers.dump() },
             "crashes": crashes,
             "suspects": suspects,
-            "quarantine": held.collect::<Vec<_>>(),
+            "quarantine": quarantined.collect::<Vec<_>>(),
             "targets": targets.all().map(target).collect::<Vec<_>>(),
             "services": services,
         })
--- a/grebedeck/src/gateway/mechanism.rs
+++ b/grebedeck/src/gateway/mechanism.rs
@@ -1,31 +1,32 @@
-//! Mechanisms of a gateway that can be left out, so that what each of them is worth can be measured again.
+//! Mechanisms of a gateway that the settings can disable, so that the effect of each can be
+//! measured.
 
 use serde::{Deserialize, Serialize};
 
-/// A mechanism.
+/// A mechanism that can be disabled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Mechanism {
-    /// Choosing among a few drawn targets in place of all.
+    /// Choose among a few randomly drawn targets instead of all.
     DrawnTargets,
-    /// Requests that wait count for more than those that run.
+    /// Weight requests that wait on a target more than those that run.
     WaitingWeight,
-    /// Slow ranks get no new requests.
+    /// Send no new requests to slow ranks.
     SlowExclusion,
-    /// Streams leave slow ranks.
+    /// Move streams away from slow ranks.
     SlowMoves,
-    /// The load follows the pauses that are seen.
+    /// Adjust the load limit of a model's group to the observed pauses between events.
     Pace,
-    /// Late requests are taken only as far as long streams still end.
+    /// Admit requests that will be late only while long streams still end before their deadline.
     LateLimit,
-    /// Prompts begin at a rate.
+    /// Limit the rate at which prompts start.
     PromptRate,
-    /// Requests wait for a place for as long as they can still be answered in time.
+    /// Let requests wait for a slot for as long as they can still be answered in time.
     Patience,
-    /// Requests are held while a service is expected back soon.
+    /// Hold requests while a service is expected back soon.
     Hold,
-    /// Who waits for a place is served by urgency, where requests differ in it.
+    /// Serve waiting requests by urgency where their routes differ in it.
     UrgencyOrder,
-    /// Callers are told to come back at different times.
+    /// Spread the retry times given to refused callers.
     ReturnSpread,
 }
--- a/grebedeck/src/gateway/options.rs
+++ b/grebedeck/src/gateway/options.rs
@@ -1,4 +1,4 @@
-//! Settings of a gateway, and the constants that it works with.
+//! Settings and constants of a gateway.
 
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
@@ -13,193 +13,202 @@
 use super::mechanism::Mechanism;
 use crate::settings::{Check, millis};
 
-/// How often rested connections and lapsed targets are looked for: well below the two seconds within
-/// which a lapsed target is to be listed again.
+/// Interval between removals of idle connections and lapsed targets: well below the two seconds
+/// within which a lapsed target must be listed again.
 pub const HOUSEKEEPING_PERIOD: Duration = Duration::from_millis(250);
-/// How long a connection to a target may take to be made: some round trips between halls, and less
-/// than the second after which a lost first packet is sent again.
+/// Timeout of connecting to a target: a few round trips between halls, and less than the second
+/// after which a lost SYN is retransmitted.
 pub const CONNECT_LIMIT: Duration = Duration::from_millis(300);
-/// Longest head of a target's answer, in bytes.
+/// Maximum length of the head of a target's answer.
 pub const MAX_ANSWER_HEAD_BYTES: usize = 64 << 10;
-/// Longest answer that is read whole before the caller gets it, in bytes.
+/// Maximum length of an answer that is read completely before it is sent to the caller.
 pub const MAX_BUFFERED_ANSWER_BYTES: usize = 8 << 20;
-/// Longest event of a stream that another target may go on with, in bytes; an event holds some tokens.
+/// Maximum length of an event in a resumable stream; an event contains a few tokens.
 pub const MAX_EVENT_BYTES: usize = 256 << 10;
-/// How long an answer waits for memory before it is given up. A target cuts off an answer that stays unread for
-/// some seconds.
+/// How long an answer waits for memory before it is abandoned. Targets cut off answers that stay
+/// unread for some seconds.
 pub const ANSWER_MEMORY_WAIT: Duration = Duration::from_secs(1);
-/// Time that a caller is told to wait where there is no memory for its body: slow callers' memory is back by then.
+/// Retry time given to a caller if there is no memory for its body; the memory of slow callers has
+/// been released by then.
 pub const NO_MEMORY_RETRY_AFTER: Duration = Duration::from_millis(500);
-/// Unread bytes that the system keeps for each connection to a target, or to a caller in each direction; it takes
-/// twice as many. Some hundred events, or several whole answers; a target is held up beyond them. With no limit the
-/// system goes on to 6 MB for each connection.
+/// Size of the socket buffers: receive buffers of connections to targets, send and receive buffers
+/// of callers' connections. The kernel allocates twice as much. It holds about a hundred events, or
+/// several complete answers; a target that sends more is blocked. Without a limit the kernel
+/// buffers up to 6 MB per connection.
 pub const SOCKET_BUFFER_BYTES: usize = 32 << 10;
-/// Bytes that are read ahead from a caller while its request is served: one read's worth, as up to
-/// `max_callers` may send some.
+/// Bytes read ahead from a caller while its request is served: a single read, as up to
+/// `max_callers` callers may send at once.
 pub const READ_AHEAD_BYTES: usize = 4 << 10;
-/// How long a caller is told to wait while no target of a service is known: the list of targets is read
+/// Retry time given to callers while no target of a service is known; the list of targets is read
 /// again within it.
 pub const NO_TARGETS_RETRY_AFTER: Duration = Duration::from_millis(500);
-/// Callers that find all places taken and are told to come back are spread over this time at the least:
-/// some passes, so that they do not begin in the same one.
+/// Minimum interval over which the retries of callers that found all slots taken are spread:
+/// several forward passes, so that they do not all start in the same one.
 pub const MIN_RETRY_SPREAD: Duration = Duration::from_millis(200);
-/// How long answers are taken to need where none was seen.
+/// Assumed time until an answer while none has been observed.
 pub const UNKNOWN_ANSWER_TIME: Duration = Duration::from_millis(500);
-/// Failures in a row after which a service is taken for out: more than one bad target has in a row.
+/// Consecutive failures after which a service counts as out: more than a single bad target causes.
 pub const OUTAGE_FAILURES: u32 = 4;
-/// How long a group's own word on whether it is open outweighs what requests show: some times as long as
-/// ranks are silent between two words.
+/// How long a group's own report on whether it is open takes precedence over the outcomes of
+/// requests: several intervals between the ranks' reports.
 pub const GROUP_REPORT_LIFETIME: Duration = Duration::from_millis(500);
-/// Pause between two requests that find out whether a service is back.
+/// Interval between probes of a service that is out.
 pub const PROBE_INTERVAL: Duration = Duration::from_millis(40);
-/// What is told of a service that is out for longer than was expected.
+/// Estimated remaining time of an outage that has lasted longer than expected.
 pub const OVERDUE_ESTIMATE: Duration = Duration::from_millis(1000);
-/// Time that a machine needs to start this process, which an outage found at its start has lasted.
+/// Time that a machine needs to start this process; an outage found at startup has lasted at least
+/// this long.
 pub const PROCESS_START_TIME: Duration = Duration::from_millis(600);
-/// A service that is expected back within this time is waited for; a caller that is told to come back
-/// later than that loses more time than it saves.
+/// Requests are held for a service that is expected back within this time. For a shorter outage, a
+/// caller that is told to retry loses more time than it saves.
 pub const HOLD_LIMIT: Duration = Duration::from_millis(600);
-/// How much longer than expected a request is held.
+/// Time beyond the expected end of an outage for which a request is held.
 pub const HOLD_MARGIN: Duration = Duration::from_millis(800);
-/// Part of its objective that a request waits for although it is late anyhow, where less urgent ones are refused before
-/// it: callers lose little by a refusal that comes within it.
+/// Fraction of its objective for which a request that will be late anyway waits, if less urgent
+/// requests are refused before it. A refusal within that time costs the caller little.
 pub const URGENT_WAIT_FRACTION: f64 = 0.25;
-/// Longest time that a request is held for a service that is out: callers leave a stream that says nothing
-/// for two seconds.
+/// Maximum time for which a request is held for a service that is out. Callers abandon a stream
+/// that is silent for two seconds.
 pub const MAX_HOLD: Duration = Duration::from_millis(1800);
-/// How often a place is looked for while all are taken and somebody waits, as shorter pauses of a model's group make
-/// room and nothing tells it: a tenth of a pass, so that no pass goes by with room that was not given.
+/// Interval between checks for a free slot while requests wait. Shorter pauses of a model's group
+/// free capacity without any notification. A tenth of a forward pass, so that no pass runs with
+/// unused capacity.
 pub const SLOT_POLL_PERIOD: Duration = Duration::from_millis(10);
-/// Shortest wait before a place is looked for again.
+/// Minimum wait before the next check for a free slot.
 pub const MIN_SLOT_WAIT: Duration = Duration::from_millis(1);
-/// Part of a group's time that may go into reading prompts. Half of it is what skew takes while experts
-/// are not placed well; twice the usual arrivals fit.
+/// Fraction of a group's time that may be spent on reading prompts. Skew takes half of it while
+/// experts are not placed well. Twice the usual number of arrivals fits.
 pub const PROMPT_FRACTION: f64 = 0.15;
-/// Time's worth of prompts that may begin at once, so that usual arrivals do not wait for each other.
+/// Burst of prompts that may start at once, as time at the limited rate, so that usual arrivals do
+/// not wait for each other.
 pub const PROMPT_BURST: Duration = Duration::from_millis(100);
-/// Targets of a service that a gateway deals with. Of a group of ranks that is a twelfth of the service it has some in
-/// its subset, so it knows whether the group is open; three are drawn for each request.
+/// Subset of a service's targets that a gateway uses. The subset includes some ranks of a group
+/// that has a twelfth of the service's targets, so the gateway knows whether that group is open.
+/// Three targets are drawn for each request.
 const SUBSET: SubsetOptions = SubsetOptions { size: 64, in_other_halls: 16 };
-/// How often ranks are asked to tell their load.
+/// Interval between subscriptions to the ranks' load reports.
 pub const SUBSCRIBE_PERIOD: Duration = Duration::from_millis(1000);
-/// The same while no rank has told anything yet, such as at the start.
+/// Interval between subscriptions until the first report arrives, such as at startup.
 pub const FIRST_SUBSCRIBE_PERIOD: Duration = Duration::from_millis(50);
-/// How long requests for a model wait at the start until a rank has told whether its group is open: some
-/// of the pauses above. Without processes beside ranks nobody ever tells, and requests are sent then.
+/// How long requests for a model wait at startup for a rank to report whether its group is open: a
+/// few [`FIRST_SUBSCRIBE_PERIOD`]s. Without processes beside the ranks no report ever arrives, and
+/// requests are sent after this time.
 pub const FIRST_REPORT_WAIT: Duration = Duration::from_millis(250);
-/// Callers that are told to come back are spread over this time: twice the usual arrivals for as long as an
-/// outage lasts would fill a group at once.
+/// Interval over which the retries of refused callers are spread. Twice the usual arrivals during
+/// an outage would fill a group at once.
 pub const RETRY_SPREAD: Duration = Duration::from_millis(800);
-/// How much later than a model's group is expected back callers are told to come: its experts lie as they
-/// were dealt, and it takes half of the usual requests until its first placement is in use.
+/// Time after the expected return of a model's group at which callers are told to retry. Its
+/// experts are in their initial layout, and until its first placement is in use the group can serve
+/// half of the usual requests.
 pub const PLACEMENT_LAG: Duration = Duration::from_millis(600);
-/// How long a caller is told to wait while all targets of a service stand in evacuated halls: operators take a hall
-/// back after seconds at the soonest.
+/// Retry time given to callers while all targets of a service are in evacuated halls. Operators
+/// take a hall back after some seconds at the earliest.
 pub const EVACUATED_RETRY_AFTER: Duration = Duration::from_millis(1000);
-/// How long a request is held at the start of the process, until the configuration is known.
+/// How long a request is held at startup until the configuration is known.
 pub const CONFIGURATION_WAIT: Duration = Duration::from_millis(300);
-/// How much later than asked the store may answer before it is taken for away: more than an answer takes
-/// when the store is slow.
+/// How much later than requested the store may answer before it counts as unavailable: more than an
+/// answer takes when the store is slow.
 const STORE_GRACE: Duration = Duration::from_millis(600);
-/// Time left to a request below which it is not sent to a target any more.
+/// Minimum remaining time of a request for sending it to a target.
 pub const MIN_ATTEMPT: Duration = Duration::from_millis(5);
 
-/// Largest part of the memory for what is kept. The process itself takes some 10 MB at rest, of 112 MB on the
-/// smallest machine.
+/// Maximum fraction of the memory for buffered bodies and answers. The process itself takes some
+/// 10 MB when idle, of 112 MB on the smallest machine.
 const MAX_KEPT_FRACTION: f64 = 0.75;
 
 /// Settings of a gateway.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct GatewaySettings {
-    /// The process's name.
+    /// Name of the process.
     pub name: String,
-    /// The data hall that it stands in.
+    /// Data hall of the instance.
     pub hall: String,
-    /// Where it takes callers' requests.
+    /// Address for callers' requests.
     pub caller_address: SocketAddr,
-    /// Where it tells the platform's balancer whether it is ready.
+    /// Address of the readiness check for the platform's balancer.
     pub ready_address: SocketAddr,
-    /// Where it answers other processes of grebedeck.
+    /// Address for requests of other grebedeck processes.
     pub peer_address: SocketAddr,
-    /// The address of this instance.
+    /// IP address of this instance.
     pub ip: IpAddr,
-    /// The port on which processes of all instances take datagrams.
+    /// UDP port on which the processes of all instances receive datagrams.
     pub group_port: u16,
-    /// Where it shows its metrics and its state.
+    /// Address of the metrics and the state dump.
     pub metrics_address: SocketAddr,
-    /// Other gateways to ask while the store is away; some may be gone.
+    /// Other gateways to ask while the store is unavailable; some may no longer exist.
     #[serde(default)]
     pub seed_peers: Vec<SocketAddr>,
-    /// The platform's store.
+    /// Address of the platform's store.
     pub store_address: SocketAddr,
-    /// How long the store may be silent beyond what it is asked to wait, before an answer and within it.
+    /// How long the store may be silent beyond the requested wait, before an answer and within it.
     #[serde(default = "defaults::store_limit_ms")]
     pub store_limit_ms: u64,
-    /// How long a target goes on after it has said that it leaves.
+    /// How long a target keeps running after it has announced that it is leaving.
     #[serde(default = "defaults::leaving_ms")]
     pub leaving_ms: u64,
-    /// How soon after trouble with the store the process has to know again what the store has.
+    /// Time after a failure of the store within which the process must have caught up with it.
     #[serde(default = "defaults::catch_up_ms")]
     pub catch_up_ms: u64,
-    /// How long after the operators' request nothing new may reach a hall that they evacuate.
+    /// Time after the operators' request from which nothing new may reach an evacuated hall.
     #[serde(default = "defaults::evacuate_ms")]
     pub evacuate_ms: u64,
-    /// How long the process goes on after a signal to stop.
+    /// Maximum time from a signal to stop until the process ends.
     pub stop_limit_ms: u64,
-    /// How long the platform's balancer may go on to send connections to a process that is not ready.
+    /// How long the platform's balancer may keep sending connections to a process that is not
+    /// ready.
     #[serde(default = "defaults::leave_ms")]
     pub leave_ms: u64,
-    /// Limits on requests that are sent to more than one target.
+    /// Retry budget.
     pub retry: RetrySettings,
-    /// How long a model's engines wait for a rank that is lost before they refuse.
+    /// How long a model's engines wait for a lost rank before they refuse requests.
     #[serde(default = "defaults::engine_stall_ms")]
     pub engine_stall_ms: u64,
     /// Memory that the process may use, in megabytes.
     pub memory_mb: usize,
-    /// Rate of the instance's link, in megabits a second; 0 where that is not known. A gateway with a large link reads the
-    /// store for others.
+    /// Rate of the instance's network link, in megabits per second; 0 if unknown. A gateway with a
+    /// fast link reads the store for others.
     #[serde(default)]
     pub link_mbps: f64,
-    /// Parts of it for what is kept until it is read.
+    /// Fractions of `memory_mb` for bodies and answers that are buffered until they are read.
     #[serde(default)]
     pub kept: KeptSettings,
-    /// Most callers' connections.
+    /// Maximum number of callers' connections.
     #[serde(default = "defaults::max_callers")]
     pub max_callers: usize,
-    /// Requests that a target may have, as a multiple of those that it works on at the same time.
+    /// Maximum load of targets.
     #[serde(default)]
     pub load: LoadSettings,
-    /// Mechanisms that are left out, to measure what they are worth.
+    /// Mechanisms to disable, so that their effect can be measured.
     #[serde(default)]
     pub without: Vec<Mechanism>,
 }
 
-/// Limits on requests that are sent to more than one target.
+/// Retry budget of each service.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RetrySettings {
-    /// Repeats for each request of a service, by all gateways together.
+    /// Retries per request of a service, of all gateways together.
     pub ratio: f64,
-    /// Length of the window in which they are counted, in seconds.
+    /// Length of the window in which requests and retries are counted, in seconds.
     pub window_s: f64,
-    /// Repeats on top of that, by all gateways together.
+    /// Retries per window on top of the ratio, of all gateways together.
     pub allowance: f64,
-    /// Gateways that the allowance is divided among at the least, with some to spare for replaced ones;
-    /// where more are known, it is divided among those.
+    /// Minimum number of gateways among which the allowance is divided, with some spare for
+    /// replaced ones; if more are known, it is divided among those.
     #[serde(default = "defaults::gateways")]
     pub gateways: f64,
 }
 
-/// Requests that a target may have, as a multiple of those that it works on at the same time.
+/// Maximum load of targets, in requests per slot.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LoadSettings {
-    /// For a model's ranks: those that wait only make the passes of the whole group longer.
+    /// For a model's ranks: requests that wait there only make the whole group's passes longer.
     pub model: f64,
-    /// For plain targets, where some may wait for a short while.
+    /// For plain targets, where some requests may wait for a short time.
     pub plain: f64,
-    /// Mean deviations that a model's pauses are kept below the longest wanted one by.
+    /// Mean deviations by which a model's mean pause is kept below the longest desired one.
     pub pause_deviations: f64,
 }
 
@@ -209,40 +218,40 @@
     }
 }
 
-/// Parts of a process's memory for what is kept until it is read.
+/// Fractions of a process's memory for buffered bodies and answers.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct KeptSettings {
-    /// For bodies of requests, until their targets have read them.
+    /// For request bodies, until the targets have read them.
     pub bodies: f64,
-    /// For answers, until their callers have read them.
+    /// For answers, until the callers have read them.
     pub answers: f64,
 }
 
 impl Default for KeptSettings {
     fn default() -> Self {
-        // The other half is for the process itself and for what the system keeps of each connection.
+        // The other half is for the process itself and for the socket buffers.
         KeptSettings { bodies: 0.25, answers: 0.25 }
     }
 }
 
 impl GatewaySettings {
-    /// Gets the bytes of a part of the process's memory.
-    pub fn memory_bytes(&self, part: f64) -> usize {
-        ((self.memory_mb << 20) as f64 * part) as usize
+    /// Size of a fraction of the process's memory, in bytes.
+    pub fn memory_bytes(&self, fraction: f64) -> usize {
+        ((self.memory_mb << 20) as f64 * fraction) as usize
     }
 
-    /// Tells whether a mechanism is in use.
+    /// Whether a mechanism is enabled.
     pub fn uses(&self, mechanism: Mechanism) -> bool {
         !self.without.contains(&mechanism)
     }
 
-    /// Gets which part of each service's targets the gateway deals with.
+    /// Which subset of each service's targets the gateway uses.
     pub fn subset_view(&self) -> SubsetView {
         SubsetView { process: self.name.clone(), hall: self.hall.clone(), options: SUBSET }
     }
 
-    /// Gets how targets are chosen.
+    /// Options for the choice of targets.
     pub fn chooser_options(&self) -> ChooserOptions {
         let mut options = chooser_options();
 
@@ -261,7 +270,7 @@
         options
     }
 
-    /// Gets the names of the settings that are used only at the start and differ from others.
+    /// Names of the settings that differ from `others` and take effect only after a restart.
     pub fn changed_fixed_fields(&self, others: &GatewaySettings) -> Vec<&'static str> {
         let fields = [
             ("name", self.name != others.name),
@@ -284,37 +293,41 @@
 }
 
 impl GatewaySettings {
-    /// Gets the age of the store's last answer beyond which it is taken for away: while it is there, it
-    /// answers at least after each wait for a change of the configuration.
+    /// Age of the store's last answer from which the store counts as unavailable. An available
+    /// store answers at least after each wait for a change of the configuration.
     pub fn max_store_silence(&self) -> Duration {
         self.store_wait() + STORE_GRACE
     }
 
-    /// Gets how long the store is asked to wait for a change. An answer that is lost leaves a watch waiting for
-    /// this long, so a third of the time to catch up is left for the next call.
+    /// How long the store is asked to wait for a change. If an answer is lost, the watch waits for
+    /// this long, so a third of the time to catch up remains for the next call.
     pub fn store_wait(&self) -> Duration {
         millis(self.catch_up_ms) * 2 / 3
     }
 
-    /// Gets how long a relay lets its followers wait for what operators write, and waits for the store itself: a relay
-    /// that the store has stopped answering is noticed, and another one asked, within half of the time to catch up.
+    /// How long a relay lets its followers wait for changes by operators, and itself waits for the
+    /// store. A relay that the store has stopped answering is thus noticed, and another one asked,
+    /// within half of the time to catch up.
     pub fn operator_relay_wait(&self) -> Duration {
         millis(self.catch_up_ms) / 3
     }
 
-    /// Gets the same for the list of targets. With the pause between two reads that is half of the time that a target
-    /// goes on after it has said that it leaves.
+    /// How long a relay lets its followers wait for changes of the list of targets, and itself
+    /// waits for the store. Together with the pause between two reads that is half of the time for
+    /// which a target keeps running after it has announced that it is leaving.
     pub fn targets_relay_wait(&self) -> Duration {
         millis(self.leaving_ms) / 4
     }
 
-    /// Gets the age from which a relay does not pass on what it has, as its next call to the store should have ended.
+    /// Age from which a relay no longer passes on its state, as its next call to the store should
+    /// have ended by then.
     pub fn max_relay_age(&self) -> Duration {
         self.store_wait() + self.targets_poll_interval() + STORE_GRACE
     }
 
-    /// Gets the pause between two reads of the list of targets, which heartbeats change all the time. A target
-    /// that leaves is known within a quarter of the time that it goes on; no more is needed, and calls add up.
+    /// Pause between two reads of the list of targets, which heartbeats change all the time. A
+    /// target that is leaving is noticed within a quarter of the time for which it keeps running.
+    /// Reading more often has no use, and the cost of the calls adds up.
     pub fn targets_poll_interval(&self) -> Duration {
         millis(self.leaving_ms) / 4
     }
@@ -373,17 +386,17 @@
 
 mod defaults {
     pub fn store_limit_ms() -> u64 {
-        // Answers take some milliseconds; beyond this, asking a peer is faster.
+        // Answers take some milliseconds; after this time, asking a peer is faster.
         400
     }
 
     pub fn leaving_ms() -> u64 {
-        // The shortest that is known of a platform.
+        // The shortest time of any known platform.
         2000
     }
 
     pub fn catch_up_ms() -> u64 {
-        // The shortest that is known of a platform.
+        // The shortest time of any known platform.
         3000
     }
 
@@ -392,7 +405,7 @@
     }
 
     pub fn leave_ms() -> u64 {
-        // The balancer asks each second and gives up after two misses.
+        // The balancer checks every second and stops sending after two failed checks.
         2300
     }
 
--- a/grebedeck/src/gateway/reload.rs
+++ b/grebedeck/src/gateway/reload.rs
@@ -1,4 +1,4 @@
-//! Taking changed settings in force.
+//! Reload of the settings file while the process runs.
 
 use std::path::Path;
 use std::rc::Rc;
@@ -10,19 +10,19 @@
 use super::service::Gateway;
 use crate::settings;
 
-/// How often the settings file is looked at, as it may change without a signal.
-const LOOK_PERIOD: Duration = Duration::from_secs(2);
+/// Interval at which the settings file is checked, as it may change without a signal.
+const CHECK_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Reads the settings file and puts it in force whole, or keeps the settings in force.
+/// Reads the settings file and applies all of it; if it is invalid, keeps the current settings.
 pub fn reload(gateway: &Gateway, file: &Path, cause: &str) {
     let read: anyhow::Result<GatewaySettings> = settings::read(file);
 
     match read {
         Ok(new) => {
-            let fixed = new.changed_fixed_fields(&gateway.settings());
+            let needs_restart = new.changed_fixed_fields(&gateway.settings());
             gateway.set_settings(new);
             log::info!("reload", kv: {
-                cause, outcome = "in force", needs_restart = fixed.join(","),
+                cause, outcome = "in force", needs_restart = needs_restart.join(","),
             });
         }
         Err(error) => {
@@ -31,21 +31,21 @@
     }
 }
 
-/// Looks for changes of the settings file until the task is dropped.
+/// Reloads the settings file whenever it has changed, until the task is dropped.
 pub async fn follow_file(gateway: Rc<Gateway>, file: std::path::PathBuf) {
-    let mut known = changed_at(&file);
+    let mut known = modified_at(&file);
 
     loop {
-        async_std::task::sleep(LOOK_PERIOD).await;
-        let seen = changed_at(&file);
+        async_std::task::sleep(CHECK_INTERVAL).await;
+        let current = modified_at(&file);
 
-        if seen != known {
-            known = seen;
+        if current != known {
+            known = current;
             reload(&gateway, &file, "file");
         }
     }
 }
 
-fn changed_at(file: &Path) -> Option<SystemTime> {
+fn modified_at(file: &Path) -> Option<SystemTime> {
     std::fs::metadata(file).and_then(|m| m.modified()).ok()
 }
--- a/grebedeck/src/gateway/service.rs
+++ b/grebedeck/src/gateway/service.rs
@@ -1,4 +1,4 @@
-//! A gateway's state, shared by its tasks.
+//! State of a gateway, shared by its tasks.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeSet, HashMap};
@@ -39,79 +39,80 @@
 use super::tried::Tried;
 use super::waiting::Waiting;
 
-/// A gateway.
+/// State of a gateway.
 pub struct Gateway {
     settings: RefCell<Rc<GatewaySettings>>,
-    /// Its metrics.
+    /// Metrics of the process.
     pub metrics: Metrics,
-    /// What it counts.
+    /// Counters and histograms of the process.
     pub counters: Counters,
     trace_lines: RefCell<LineBudget>,
-    /// The platform's header names.
+    /// Header names of the platform.
     pub names: HeaderNames,
-    /// Runs its tasks.
+    /// Executor of the gateway's tasks.
     pub tasks: Tasks,
-    /// Buffer connections to targets.
+    /// Idle connections to targets.
     pub pool: Pool,
-    /// Memory for callers' bodies.
+    /// Memory for callers' request bodies.
     pub bodies: Rc<SharedMemory>,
-    /// Memory for targets' answers.
+    /// Memory for targets' responses.
     pub answers: Rc<SharedMemory>,
-    /// Whether it is stopping.
+    /// Shutdown state, with the connections and requests in progress.
     pub stop: StopState,
-    /// Told whenever a place on a target may have become free.
+    /// Notified whenever a slot on a target may have become free.
     pub slot_freed: Event,
-    /// The view of the targets' load and health.
+    /// Load and health of the targets.
     pub chooser: RefCell<Chooser>,
     clock: Clock,
     table: RefCell<Rc<RouteTable>>,
     pub(super) targets: RefCell<TargetList>,
     pub(super) targets_known_at: Cell<Option<Moment>>,
-    /// What is known of what operators have written.
+    /// State of what operators have written to the store.
     pub(super) operator: OperatorView,
+    /// Whether any rank has reported its load yet.
     pub(super) hears_ranks: Cell<bool>,
     retry_budgets: RefCell<HashMap<ServiceName, WindowedRetryBudget>>,
     site: RefCell<Option<Site>>,
-    /// Whom this gateway follows, and what it has for those that follow it.
+    /// The relay that this gateway follows, and the feeds for gateways that follow it.
     pub(super) relay: RelayState,
     peers: RefCell<BTreeSet<SocketAddr>>,
-    /// Gateways that are known, this one included.
+    /// Number of known gateways, including this one.
     gateway_count: Cell<usize>,
     store_answered_at: Cell<Option<Moment>>,
     pub(super) outages: RefCell<HashMap<ServiceName, Outage>>,
-    /// Groups of the models' ranks, as those told.
+    /// Group of each model rank, as reported by the rank.
     pub(super) groups: RefCell<HashMap<TargetId, GroupId>>,
     pub(super) paces: RefCell<HashMap<ServiceName, Pacing>>,
     pub(super) prompts: RefCell<HashMap<ServiceName, PromptLimiter>>,
     wait_limits: RefCell<HashMap<ServiceName, WaitLimit>>,
-    /// This gateway's part in targets that are cold.
+    /// Limits on requests to cold targets, and this gateway's share in them.
     pub(super) cold: RefCell<ColdLimiter>,
-    /// Targets that refuse requests or want rest.
+    /// Targets that refuse requests or have asked for a pause.
     pub(super) refusals: RefCell<Refusals>,
-    /// Lines on targets that refuse.
+    /// Budget of log lines on targets that refuse.
     pub(super) refusing_lines: RefCell<LineBudget>,
-    /// Limits that targets name.
+    /// Rate limits announced by targets.
     pub(super) limits: LimitState,
-    /// Its part in giving out permits.
+    /// Permits for targets with a rate limit, granted and requested.
     pub(super) quota: QuotaState,
-    /// Lines on entries that cannot be read.
+    /// Budget of log lines on unreadable entries.
     pub(super) entry_lines: RefCell<LineBudget>,
-    /// Requests that are not sent any more, and those that may have to be among them.
+    /// Quarantined requests, and those under suspicion after a crash.
     pub(super) quarantine: RefCell<Quarantine>,
-    /// Requests that were answered lately, of services whose targets' crashes stop others.
+    /// Recently answered requests of services where one crash stops many requests.
     pub(super) crash_cooldown: RefCell<CrashCooldown>,
-    /// Told when it is known of a request whether it may be sent.
+    /// Notified when it is decided whether a suspected request may be sent.
     pub(super) suspects_changed: Event,
-    /// Told when there is something to tell other gateways, or to store.
+    /// Notified when there are crash reports to send to other gateways or to the store.
     pub(super) suspect_updates: Event,
-    /// Lines on targets that crash.
+    /// Budget of log lines on targets that crash.
     pub(super) suspect_lines: RefCell<LineBudget>,
-    /// Requests that wait for a place.
+    /// Requests that wait for a slot.
     pub waiting: Waiting,
 }
 
 impl Gateway {
-    /// Makes a gateway that knows nothing yet.
+    /// Creates a gateway without a configuration or targets.
     pub fn new(settings: GatewaySettings, names: HeaderNames, tasks: Tasks) -> Self {
         let metrics = Metrics::default();
 
@@ -165,17 +166,17 @@
         gateway
     }
 
-    /// Gets the time.
+    /// Current time of the process's clock.
     pub fn now(&self) -> Moment {
         self.clock.now()
     }
 
-    /// Gets the routes in force.
+    /// Routes in force.
     pub fn table(&self) -> Rc<RouteTable> {
         self.table.borrow().clone()
     }
 
-    /// Puts a configuration in force if it is newer; tells whether it was.
+    /// Puts a configuration in force if it is newer than the current one; returns whether it was.
     pub fn apply_site(&self, site: &Site, from: &str) -> bool {
         let before = self.table.borrow().version();
 
@@ -194,17 +195,17 @@
         true
     }
 
-    /// Tells whether requests for a service are served by urgency.
+    /// Whether requests for a service are served by urgency.
     pub fn uses_urgency_order(&self, service: &str) -> bool {
         self.uses(Mechanism::UrgencyOrder) && self.table.borrow().has_urgency_levels(service)
     }
 
-    /// Gets the configuration in force.
+    /// Configuration in force.
     pub fn site(&self) -> Option<Site> {
         self.site.borrow().clone()
     }
 
-    /// Sets the gateways that the store names.
+    /// Sets the other gateways that the store lists.
     pub fn set_peers(&self, peers: BTreeSet<SocketAddr>) {
         *self.peers.borrow_mut() = peers;
         self.update_gateway_count();
@@ -214,12 +215,12 @@
         self.gateway_count.set(self.peers().len() + 1);
     }
 
-    /// Gets the number of gateways that are known, this one included.
+    /// Number of known gateways, including this one.
     pub fn gateway_count(&self) -> usize {
         self.gateway_count.get()
     }
 
-    /// Gets the other gateways that are known.
+    /// Addresses of the other known gateways: those that the store lists and the seed peers.
     pub fn peers(&self) -> BTreeSet<SocketAddr> {
         let settings = self.settings();
         let mut peers = self.peers.borrow().clone();
@@ -229,22 +230,22 @@
         peers
     }
 
-    /// Notes that the store has answered.
+    /// Records that the store has answered.
     pub fn record_store_answer(&self) {
         self.store_answered_at.set(Some(self.now()));
     }
 
-    /// Notes that the store did not answer as it should.
+    /// Records a failed call to the store.
     pub fn record_store_failure(&self) {
         self.store_answered_at.set(None);
     }
 
-    /// Tells whether the store is away: it failed, or has not answered for a while.
+    /// Whether the store is unavailable: the last call failed, or it has been silent for too long.
     pub fn is_store_unavailable(&self, silence: Duration) -> bool {
         self.store_answered_at.get().is_none_or(|at| self.now() >= at + silence)
     }
 
-    /// Changes the list of targets and notes what follows.
+    /// Updates the list of targets and handles the events that result.
     pub fn update_targets(&self, change: impl FnOnce(&mut TargetList, Moment) -> Vec<ListEvent>) {
         let now = self.now();
         let events = change(&mut self.targets.borrow_mut(), now);
@@ -260,30 +261,31 @@
         }
     }
 
-    /// Notes that the list of targets was read whole.
+    /// Records that the whole list of targets has been read.
     pub fn record_targets_known(&self) {
         if self.targets_known_at.get().is_none() {
             self.targets_known_at.set(Some(self.now()));
         }
     }
 
-    /// Drops targets that have lapsed.
+    /// Removes targets that have been missing from the list for too long, and applies the changes
+    /// that are due in evacuated halls.
     pub fn remove_lapsed_targets(&self) {
         self.update_targets(TargetList::tick);
     }
 
-    /// Looks at the list of targets.
-    pub fn with_targets<T>(&self, look: impl FnOnce(&TargetList) -> T) -> T {
-        look(&self.targets.borrow())
+    /// Reads from the list of targets.
+    pub fn with_targets<T>(&self, read: impl FnOnce(&TargetList) -> T) -> T {
+        read(&self.targets.borrow())
     }
 
-    /// Gets the targets of a service that take work.
+    /// Targets of a service that accept new work.
     pub fn serving(&self, service: &str) -> Option<Arc<[Arc<TargetEntry>]>> {
         self.refresh_halls();
         self.targets.borrow().serving(service).cloned()
     }
 
-    /// Tells whether the process can serve requests.
+    /// Whether the process can serve requests.
     pub fn is_ready(&self) -> bool {
         self.table.borrow().version() > 0
             && self.targets_known_at.get().is_some()
@@ -291,27 +293,28 @@
             && !self.stop.is_stopping()
     }
 
-    /// Gets the targets of a service that take work and that this gateway hears the loads of.
+    /// Targets of a service that accept new work and are in this gateway's subset.
     pub fn candidates(&self, service: &str) -> Arc<[Arc<TargetEntry>]> {
         self.refresh_halls();
         self.targets.borrow().candidates(service).cloned().unwrap_or_default()
     }
 
-    /// Notes the first attempt of a request for a service.
+    /// Records the first attempt of a request in the retry budget of its service.
     pub fn record_first_attempt(&self, service: &str) {
         let now = self.now();
 
         self.with_retry_budget(service, |budget| budget.record_request(now));
     }
 
-    /// Takes one repeat of a service's budget, where there is one left.
+    /// Takes one retry from a service's budget; returns whether one was left.
     pub fn try_acquire_retry(&self, service: &str) -> bool {
         let now = self.now();
 
         self.with_retry_budget(service, |budget| budget.try_acquire(now))
     }
 
-    /// Tells whether a request may be sent to another target, and takes the repeat for it.
+    /// Returns whether a request may be retried on another target; if so, takes a retry from the
+    /// budget.
     pub fn authorize_retry(&self, request: &RoutedRequest, tried: &Tried) -> bool {
         let rule = &request.admitted.rule;
         let now = self.now();
@@ -336,37 +339,37 @@
         refused.is_none()
     }
 
-    /// Notes how long a target took for an answer or its first event.
+    /// Records how long a target took until its answer, or a stream's first event.
     pub fn record_answer_time(&self, service: &str, took: Duration) {
-        let mut patience = self.wait_limits.borrow_mut();
+        let mut limits = self.wait_limits.borrow_mut();
 
-        match patience.get_mut(service) {
-            Some(patience) => patience.record_answer(took),
+        match limits.get_mut(service) {
+            Some(limit) => limit.record_answer(took),
             None => {
                 let mut first = WaitLimit::new(WaitLimitOptions::default());
                 first.record_answer(took);
-                patience.insert(service.to_string(), first);
+                limits.insert(service.to_string(), first);
             }
         }
     }
 
-    /// Gets how long a request of a service may wait for a place and still be answered in time.
+    /// How long a request of a service may wait for a slot and still meet its latency objective.
     pub fn max_slot_wait(&self, service: &str, objective: Duration) -> Duration {
         if !self.uses(Mechanism::Patience) {
             return WaitLimitOptions::default().min_wait;
         }
 
-        let patience = self.wait_limits.borrow();
+        let limits = self.wait_limits.borrow();
 
-        patience.get(service).map_or(objective, |patience| patience.max_wait(objective))
+        limits.get(service).map_or(objective, |limit| limit.max_wait(objective))
     }
 
-    /// Gets the time that a service's targets usually take for an answer or its first event.
+    /// Mean time that a service's targets take until an answer, or a stream's first event.
     pub fn usual_answer_time(&self, service: &str) -> Option<Duration> {
         self.wait_limits.borrow().get(service).map(WaitLimit::mean)
     }
 
-    /// Counts how a request ended, and logs its trace if it is of interest.
+    /// Counts how a request ended, and logs its trace if it is of interest and the budget allows.
     pub fn record_end(&self, trace: &Trace, end: End, is_late: bool) {
         let now = self.now();
         self.counters.requests.add(if is_late && end.word() == "served" {
@@ -386,28 +389,29 @@
         }
     }
 
-    /// Tells how many traces were not logged since this was done last.
+    /// Logs how many traces were suppressed since the last call.
     pub fn log_suppressed_traces(&self) {
         let count = self.trace_lines.borrow_mut().take_left_out();
 
         if count > 0 {
-            log::warn!("requests not logged", kv: { count });
+            log::warn!("request traces suppressed", kv: { count });
         }
     }
 
-    /// Tells whether a mechanism is in use.
+    /// Whether a mechanism is enabled.
     pub fn uses(&self, mechanism: Mechanism) -> bool {
         self.settings.borrow().uses(mechanism)
     }
 
-    /// Gets the settings in force.
+    /// Settings in force.
     pub fn settings(&self) -> Rc<GatewaySettings> {
         self.settings.borrow().clone()
     }
 
-    /// Puts new settings in force. What is used only at the start stays as it was.
+    /// Applies new settings. Those that are used only at startup keep their effect until a restart.
     pub fn set_settings(&self, settings: GatewaySettings) {
-        // Paces are made with the settings' figures. Learning them anew admits too many for some passes.
+        // The load limits are created from these settings. They are discarded only if those have
+        // changed, because relearning a limit admits too many requests for some passes.
         if settings.load != self.settings().load || settings.without != self.settings().without {
             self.paces.borrow_mut().clear();
         }
@@ -417,7 +421,7 @@
         self.set_evacuation_bound();
     }
 
-    /// Notes a target's load.
+    /// Records a target's load report.
     pub fn record_load(&self, target: &str, report: LoadReport) {
         let now = self.now();
 
@@ -471,10 +475,10 @@
                 log::info!("target leaving", kv: { target = id.as_str(), from = "target" });
             }
             ListEvent::Lapsed(id) => {
-                log::warn!("target lapsed", kv: { target = id.as_str() });
+                log::warn!("target missing from list", kv: { target = id.as_str() });
             }
             ListEvent::Removed(id) => {
-                log::info!("target gone", kv: { target = id.as_str() });
+                log::info!("target removed", kv: { target = id.as_str() });
                 self.note_ended(id);
                 let targets = &self.targets;
                 let keep = |name: &str| targets.try_borrow().is_ok_and(|t| t.get(name).is_some());
--- a/grebedeck/src/gateway/stop.rs
+++ b/grebedeck/src/gateway/stop.rs
@@ -1,9 +1,9 @@
-//! Stopping a gateway without cutting off what is in flight.
+//! Graceful shutdown of a gateway.
 //!
-//! After the signal the process says that it is not ready, and goes on to serve until the platform's
-//! balancer has noticed; whatever comes later is refused. Resting connections are closed at once, since
-//! a caller whose request crosses the close sends it again; each connection is closed behind its last
-//! answer.
+//! After the signal the process reports that it is not ready, and keeps serving until the
+//! platform's balancer has noticed; later requests are refused. Idle connections are closed at
+//! once, because a caller whose request crosses the close sends it again. Each other connection is
+//! closed after its current answer.
 
 use std::cell::Cell;
 use std::path::Path;
@@ -19,12 +19,12 @@
 use super::reload;
 use super::service::Gateway;
 
-/// How often a stopping process looks whether something is in flight.
-const IDLE_CHECK: Duration = Duration::from_millis(20);
-/// Time kept back from the limit, so that the process ends by itself.
+/// Interval at which a stopping process checks whether requests are in flight.
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// Time subtracted from the stop limit, so that the process exits before it is killed.
 const STOP_MARGIN: Duration = Duration::from_millis(300);
 
-/// Whether a process is stopping, and what it still has in flight.
+/// Shutdown state, with the number of open connections and of requests in flight.
 #[derive(Default)]
 pub struct StopState {
     since: Cell<Option<Moment>>,
@@ -33,7 +33,7 @@
     connections: Cell<usize>,
 }
 
-/// Counts a caller's connection until it is dropped.
+/// Counts a caller's connection as open until dropped.
 pub struct ConnectionGuard(Rc<Gateway>);
 
 impl Drop for ConnectionGuard {
@@ -43,7 +43,7 @@
     }
 }
 
-/// Counts a request as in flight until it is dropped.
+/// Counts a request as in flight until dropped.
 pub struct RequestGuard(Rc<Gateway>);
 
 impl Drop for RequestGuard {
@@ -54,39 +54,39 @@
 }
 
 impl StopState {
-    /// Tells whether the process is stopping.
+    /// Whether the process is stopping.
     pub fn is_stopping(&self) -> bool {
         self.since.get().is_some()
     }
 
-    /// Tells whether the process has been stopping for so long that a new request might not end in time.
-    pub fn refuses_requests(&self, leave: Duration, now: Moment) -> bool {
-        self.since.get().is_some_and(|since| now >= since + leave)
+    /// Whether new requests are refused: the process has been stopping for longer than `grace`.
+    pub fn refuses_requests(&self, grace: Duration, now: Moment) -> bool {
+        self.since.get().is_some_and(|since| now >= since + grace)
     }
 
-    /// Gets a listener that is told when the process begins to stop.
+    /// Listener that is notified when the process begins to stop.
     pub fn listen(&self) -> EventListener {
         self.began.listen()
     }
 
-    /// Gets the number of callers' connections.
+    /// Number of callers' open connections.
     pub fn connections(&self) -> usize {
         self.connections.get()
     }
 
-    /// Gets the number of requests in flight.
+    /// Number of requests in flight.
     pub fn in_flight(&self) -> usize {
         self.in_flight.get()
     }
 
-    /// Begins to stop: resting connections are closed, and each of the others behind its answer.
+    /// Begins to stop: idle connections are closed, the others after their current answer.
     pub fn begin(&self, now: Moment) {
         self.since.set(Some(now));
         self.began.notify(usize::MAX);
     }
 }
 
-/// Counts a caller's connection.
+/// Counts a caller's connection as open for the lifetime of the guard.
 pub fn count_connection(gateway: &Rc<Gateway>) -> ConnectionGuard {
     let connections = &gateway.stop.connections;
     connections.set(connections.get() + 1);
@@ -94,7 +94,7 @@
     ConnectionGuard(gateway.clone())
 }
 
-/// Counts a request as in flight.
+/// Counts a request as in flight for the lifetime of the guard.
 pub fn count_request(gateway: &Rc<Gateway>) -> RequestGuard {
     let in_flight = &gateway.stop.in_flight;
     in_flight.set(in_flight.get() + 1);
@@ -102,7 +102,8 @@
     RequestGuard(gateway.clone())
 }
 
-/// Waits for the signal to stop, then until nothing is in flight, within the limit.
+/// Waits for a signal to stop, then until no request is in flight or the stop limit passes.
+/// `SIGHUP` reloads the settings.
 pub async fn run_until_stopped(gateway: &Rc<Gateway>, file: &Path) -> anyhow::Result<()> {
     let mut signals = Signals::new([Signal::Term, Signal::Int, Signal::Hup])?;
 
@@ -115,16 +116,16 @@
 
     let began = gateway.now();
     let limit = Duration::from_millis(gateway.settings().stop_limit_ms).saturating_sub(STOP_MARGIN);
-    let leave = Duration::from_millis(gateway.settings().leave_ms);
+    let grace = Duration::from_millis(gateway.settings().leave_ms);
     log::info!("stopping", kv: { in_flight = gateway.stop.in_flight() });
     gateway.stop.begin(began);
 
     loop {
-        async_std::task::sleep(IDLE_CHECK).await;
+        async_std::task::sleep(IDLE_CHECK_INTERVAL).await;
         let elapsed = gateway.now() - began;
         let is_idle = gateway.stop.in_flight() == 0;
 
-        if (is_idle && elapsed >= leave) || elapsed >= limit {
+        if (is_idle && elapsed >= grace) || elapsed >= limit {
             log::info!("stopped", kv: { in_flight = gateway.stop.in_flight() });
             return Ok(());
         }
