--- a/grebedeck/src/command.rs
+++ b/grebedeck/src/command.rs
@@ -1,4 +1,4 @@
-//! The operators' commands, each a client of a process's operator port.
+//! Commands for operators. Most of them are clients of a process's operator port.
 
 pub mod changes;
 pub mod client;
@@ -7,7 +7,7 @@
 
 pub use options::{Command, options};
 
-/// Exit code where the answer is that something was refused or is missing.
+/// Exit code if something was refused or is missing.
 pub const EXIT_REFUSED: u8 = 1;
-/// Exit code where the outcome cannot be told, or the process could not be reached.
+/// Exit code if the outcome is unknown or the process is unreachable.
 pub const EXIT_UNKNOWN: u8 = 3;
--- a/grebedeck/src/command/changes.rs
+++ b/grebedeck/src/command/changes.rs
@@ -1,4 +1,4 @@
-//! Commands on the configuration: apply, get, diff and history.
+//! The commands `apply`, `get`, `diff` and `history`, which deal with the configuration.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,12 +14,12 @@
 use super::{EXIT_REFUSED, EXIT_UNKNOWN};
 use crate::operator::{ConfigView, InForce};
 
-/// How long `apply --wait` waits, the time in which a change must be in force.
-const WAIT_LIMIT: Duration = Duration::from_secs(18);
-/// How often `apply --wait` asks.
-const WAIT_STEP: Duration = Duration::from_millis(200);
+/// Timeout of `apply --wait`: the time within which a change must be in force.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(18);
+/// Interval between the queries of `apply --wait`.
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Applies a change; gives the exit code.
+/// Applies a change; returns the exit code.
 pub async fn apply(
     operator: SocketAddr,
     file: &Path,
@@ -62,14 +62,14 @@
 }
 
 async fn wait_in_force(client: &OperatorClient, revision: Revision, as_json: bool) -> Result<u8> {
-    let start = Instant::now();
+    let started = Instant::now();
 
     loop {
         let path = format!("/config/in-force?revision={revision}");
         let state: InForce = client.get(&path).await?.parse()?;
         let done = state.missing.is_empty();
 
-        if done || start.elapsed() > WAIT_LIMIT {
+        if done || started.elapsed() > WAIT_TIMEOUT {
             if as_json {
                 println!("{}", serde_json::to_string(&state)?);
             } else if done {
@@ -81,11 +81,11 @@
             return Ok(if done { 0 } else { EXIT_UNKNOWN });
         }
 
-        async_std::task::sleep(WAIT_STEP).await;
+        async_std::task::sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Prints the configuration in force.
+/// Prints the configuration in force, or one part of it.
 pub async fn get(operator: SocketAddr, kind: Option<&str>, as_json: bool) -> Result<u8> {
     let view: ConfigView = OperatorClient::new(operator).get("/config").await?.parse()?;
     let document = serde_json::to_value(&view.document)?;
@@ -107,7 +107,7 @@
     Ok(0)
 }
 
-/// Prints what a change would change.
+/// Prints which organisations would gain or lose targets by a change.
 pub async fn diff(operator: SocketAddr, file: &Path, as_json: bool) -> Result<u8> {
     let view: ConfigView = OperatorClient::new(operator).get("/config").await?.parse()?;
     let text = std::fs::read_to_string(file).with_context(|| file.display().to_string())?;
@@ -115,7 +115,7 @@
 
     match change.check(&view.document) {
         Ok(next) => {
-            print_diff(&difference(&view.document, &next), as_json);
+            print_diff(&compare(&view.document, &next), as_json);
             Ok(0)
         }
         Err(faults) => {
@@ -125,31 +125,31 @@
     }
 }
 
-/// Targets that each organisation and service gains and loses.
+/// Targets gained and lost, by organisation and service.
 type Difference = BTreeMap<String, (Vec<String>, Vec<String>)>;
 
-fn difference(before: &Document, after: &Document) -> Difference {
+fn compare(before: &Document, after: &Document) -> Difference {
     let (old, new) = (Routes::new(0, before), Routes::new(0, after));
     let services = services_of(before).chain(services_of(after));
     let services: std::collections::BTreeSet<String> = services.collect();
     let organisations = before.organisations.keys().chain(after.organisations.keys());
     let organisations: std::collections::BTreeSet<&String> = organisations.collect();
-    let mut found = Difference::new();
+    let mut difference = Difference::new();
 
     for organisation in organisations {
         for service in &services {
-            let had = names(&old, organisation, service);
-            let has = names(&new, organisation, service);
-            let gains: Vec<_> = has.iter().filter(|n| !had.contains(n)).cloned().collect();
-            let losses: Vec<_> = had.iter().filter(|n| !has.contains(n)).cloned().collect();
+            let previous = allowed_targets(&old, organisation, service);
+            let next = allowed_targets(&new, organisation, service);
+            let gains: Vec<_> = next.iter().filter(|n| !previous.contains(n)).cloned().collect();
+            let losses: Vec<_> = previous.iter().filter(|n| !next.contains(n)).cloned().collect();
 
             if !gains.is_empty() || !losses.is_empty() {
-                found.insert(format!("{organisation} -> {service}"), (gains, losses));
+                difference.insert(format!("{organisation} -> {service}"), (gains, losses));
             }
         }
     }
 
-    found
+    difference
 }
 
 fn services_of(document: &Document) -> impl Iterator<Item = String> {
@@ -158,7 +158,7 @@
     })
 }
 
-fn names(routes: &Routes, organisation: &str, service: &str) -> Vec<String> {
+fn allowed_targets(routes: &Routes, organisation: &str, service: &str) -> Vec<String> {
     let allowed = routes.allowed(organisation, service);
 
     allowed.map(|a| a.iter().map(|r| r.name.clone()).collect()).unwrap_or_default()
@@ -188,7 +188,7 @@
     }
 }
 
-/// Lists the last accepted changes.
+/// Prints the last accepted changes, newest first.
 pub async fn history(operator: SocketAddr, as_json: bool) -> Result<u8> {
     let answer = OperatorClient::new(operator).get("/config/history").await?;
     let entries: Vec<LogEntry> = answer.parse()?;
--- a/grebedeck/src/command/client.rs
+++ b/grebedeck/src/command/client.rs
@@ -1,4 +1,4 @@
-//! Calls to a process's operator port.
+//! Client of a process's operator port.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,17 +7,17 @@
 use grebedeck_net::http::HttpClient;
 use http_types::{Method, Request, Url};
 
-/// Largest answer that is read, in bytes.
+/// Maximum length of an answer.
 const MAX_ANSWER_BYTES: usize = 64 << 20;
-/// How long a call may take; a change may have to wait for a slow store.
-const CALL_LIMIT: Duration = Duration::from_secs(60);
+/// Timeout of a call; a change may have to wait for a slow store.
+const CALL_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// A process's operator port.
+/// Client of a process's operator port.
 pub struct OperatorClient {
     client: HttpClient,
 }
 
-/// An answer of the operator port.
+/// Answer of the operator port.
 pub struct OperatorAnswer {
     /// HTTP status.
     pub status: u16,
@@ -26,7 +26,7 @@
 }
 
 impl OperatorAnswer {
-    /// Parses the body.
+    /// Parses the body as JSON.
     pub fn parse<T: for<'a> serde::Deserialize<'a>>(&self) -> Result<T> {
         let text = || String::from_utf8_lossy(&self.body).into_owned();
 
@@ -36,17 +36,17 @@
 }
 
 impl OperatorClient {
-    /// Makes a client; it connects when it is first used.
+    /// Creates a client, which connects on first use.
     pub fn new(address: SocketAddr) -> Self {
         OperatorClient { client: HttpClient::new(address, Duration::from_secs(5)) }
     }
 
-    /// Reads a path.
+    /// Sends a GET request.
     pub async fn get(&self, path: &str) -> Result<OperatorAnswer> {
         self.call(Method::Get, path, None).await
     }
 
-    /// Posts a body to a path.
+    /// Sends a POST request with a JSON body.
     pub async fn post(&self, path: &str, body: Vec<u8>) -> Result<OperatorAnswer> {
         self.call(Method::Post, path, Some(body)).await
     }
@@ -68,7 +68,7 @@
 
         let (status, body) = self
             .client
-            .fetch(request, MAX_ANSWER_BYTES, CALL_LIMIT)
+            .fetch(request, MAX_ANSWER_BYTES, CALL_TIMEOUT)
             .await
             .with_context(|| format!("operator port {address}"))?;
         Ok(OperatorAnswer { status, body })
--- a/grebedeck/src/command/explain.rs
+++ b/grebedeck/src/command/explain.rs
@@ -1,18 +1,18 @@
-//! Telling a request's trace from the logs of several processes.
+//! The command `explain`: reconstructs a request's trace from the logs of several processes.
 //!
-//! A request has its id in every line that decides on it, and each line says how long after the
-//! request's arrival it was decided. Clocks of instances differ and may jump, so lines of one process are
-//! kept in their order, and only the offsets within a request are compared. Around them stand the changes
-//! of what the same process believed.
+//! Every log line on a decision about a request has the request's id and the time of the decision
+//! since the request's arrival. The clocks of instances differ and may jump, so the lines of a
+//! process keep their order, and only the offsets within a request are shown. The trace starts with
+//! the state changes that the same process logged before the request.
 
 use std::collections::VecDeque;
 use std::path::{Path, PathBuf};
 
 use serde_json::{Map, Value};
 
-/// Changes of belief that are told in front of a request.
+/// Maximum number of state changes shown before a request.
 const CONTEXT_LINES: usize = 12;
-/// Lines on requests; all others are changes of what a process believes.
+/// Events on single requests; all others are changes of a process's state.
 const REQUEST_EVENTS: [&str; 12] = [
     "request admitted",
     "request denied",
@@ -28,13 +28,13 @@
     "request ended",
 ];
 
-/// One line of a log.
+/// Parsed line of a log.
 struct Line {
     event: String,
     fields: Map<String, Value>,
 }
 
-/// Tells the trace of a request; fails where no file holds it.
+/// Returns the trace of a request; fails if no file contains a line on it.
 pub fn explain(id: &str, files: &[PathBuf]) -> anyhow::Result<String> {
     let mut trace = String::new();
 
@@ -56,11 +56,13 @@
         if line.fields.get("request").and_then(Value::as_str) == Some(id) {
             if trace.is_empty() {
                 trace = format!("{}\n", file.display());
-                context.drain(..).for_each(|before| trace.push_str(&tell("before", &before)));
+                context
+                    .drain(..)
+                    .for_each(|earlier| trace.push_str(&format_line("before", &earlier)));
             }
 
             let at_ms = line.fields.get("at_ms").and_then(Value::as_u64).unwrap_or(0);
-            trace.push_str(&tell(&format!("{at_ms} ms"), &line));
+            trace.push_str(&format_line(&format!("{at_ms} ms"), &line));
         } else if !REQUEST_EVENTS.contains(&line.event.as_str()) {
             context.push_back(line);
 
@@ -73,7 +75,7 @@
     trace
 }
 
-/// Reads a line; whatever stands before its JSON, such as a collector's own words, is kept out.
+/// Parses a line; skips any text before the JSON, such as the prefix of a log collector.
 fn parse(text: &str) -> Option<Line> {
     let json: Value = serde_json::from_str(&text[text.find('{')?..]).ok()?;
     let event = json.get("payload")?.as_str()?.to_string();
@@ -82,7 +84,7 @@
     Some(Line { event, fields })
 }
 
-fn tell(when: &str, line: &Line) -> String {
+fn format_line(when: &str, line: &Line) -> String {
     let hidden = ["request", "at_ms"];
     let shown = line.fields.iter().filter(|(name, _)| !hidden.contains(&name.as_str()));
     let fields: Vec<String> = shown.map(|(name, value)| format!("{name}={value}")).collect();
--- a/grebedeck/src/command/options.rs
+++ b/grebedeck/src/command/options.rs
@@ -159,7 +159,7 @@
     bpaf::long("json").help("Print JSON for programs").switch()
 }
 
-/// Gets the parser of the command line.
+/// Parser of the command line.
 pub fn parser() -> OptionParser<Command> {
     options()
 }
--- a/grebedeck/src/config.rs
+++ b/grebedeck/src/config.rs
@@ -1,8 +1,8 @@
 //! The configuration service of a process.
 //!
-//! It holds the revision in force, reads the table service now and then, exchanges revisions with
-//! its peers, and takes operators' changes to the table. Whatever brings a newer revision, it is
-//! put in force at once and handed on.
+//! It holds the revision in force, periodically reads the table service, exchanges revisions with
+//! its peers, and writes operators' changes to the table. A newer revision is put in force at once
+//! and passed on to the peers, whichever way it arrives.
 
 pub mod service;
 pub mod spread;
--- a/grebedeck/src/directory.rs
+++ b/grebedeck/src/directory.rs
@@ -1,4 +1,7 @@
-//! Who stands behind each peer address, asked once per connection.
+//! Directory of peers: links to them, and their identities.
+//!
+//! The process behind an address may be replaced by another one. A peer is therefore asked for its
+//! identity once per connection.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -14,38 +17,38 @@
 
 use crate::message::{CONTROL_PATH, Control, ControlAnswer, PROTOCOL_VERSION, PeerHello};
 
-/// The service's name.
+/// Name of the service.
 pub const NAME: &str = "peers";
-/// How long a peer may take to answer a control message.
-const CONTROL_LIMIT: Duration = Duration::from_secs(2);
+/// Timeout of a control message and its answer.
+const CONTROL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How often a peer that somebody waits for is asked whether it is still there.
-const LIVENESS_PERIOD: Duration = Duration::from_secs(1);
-/// How long it may take to answer that.
-const LIVENESS_LIMIT: Duration = Duration::from_secs(1);
+/// Interval between liveness checks of a peer while requests wait for it.
+const LIVENESS_INTERVAL: Duration = Duration::from_secs(1);
+/// Timeout of a liveness check.
+const LIVENESS_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// When a peer was last asked whether it is there, and whether it was. Whoever asks holds the lock,
-/// so that a peer is asked once, however many requests wait for it.
+/// Time and result of the last liveness check of a peer. The lock is held during a check, so that
+/// there is one check at a time, however many requests wait for the peer.
 type Liveness = async_std::sync::Arc<async_std::sync::Mutex<Option<(Instant, bool)>>>;
 
-/// Links to peers, with what each peer said of itself on the link.
+/// Links to peers, with the identity that each peer sent on its link.
 pub struct Directory {
     pool: LinkPool,
-    known: Mutex<HashMap<SocketAddr, (u64, PeerHello)>>,
+    hellos: Mutex<HashMap<SocketAddr, (u64, PeerHello)>>,
     liveness: Mutex<HashMap<SocketAddr, Liveness>>,
 }
 
 impl Directory {
-    /// Makes an empty directory.
+    /// Creates an empty directory.
     pub fn new(connect_limit: Duration) -> Self {
         Directory {
             pool: LinkPool::new(connect_limit),
-            known: Mutex::default(),
+            hellos: Mutex::default(),
             liveness: Mutex::default(),
         }
     }
 
-    /// Gets a link to a peer and who it is.
+    /// Returns a link to a peer and the peer's identity.
     pub async fn peer(&self, address: SocketAddr) -> Result<(Link, PeerHello)> {
         let link = self.pool.link(address).await?;
 
@@ -55,25 +58,25 @@
             return Ok((link, hello.clone()));
         }
 
-        let hello = greet(&link).await?;
+        let hello = request_hello(&link).await?;
         self.lock().insert(address, (link.id(), hello.clone()));
 
         Ok((link, hello))
     }
 
-    /// Sends a control message to a peer and gets its answer.
+    /// Sends a control message to a peer and returns its answer.
     pub async fn control(&self, address: SocketAddr, message: &Control) -> Result<ControlAnswer> {
         let link = self.pool.link(address).await?;
 
-        control_on(&link, message).await
+        send_control(&link, message).await
     }
 
-    /// Completes when a peer no longer answers, be it dead, frozen or cut off.
+    /// Completes when a peer no longer answers because it is dead, frozen or partitioned.
     ///
-    /// A frozen process keeps its connections, so that waiting on them alone shows nothing.
+    /// A frozen process keeps its connections, so a failure cannot be detected from them alone.
     pub async fn wait_until_unresponsive(&self, address: SocketAddr) {
         loop {
-            async_std::task::sleep(LIVENESS_PERIOD).await;
+            async_std::task::sleep(LIVENESS_INTERVAL).await;
 
             if !self.is_alive(address).await {
                 return;
@@ -89,19 +92,19 @@
         let mut last = liveness.lock().await;
 
         if let Some((at, alive)) = *last
-            && at.elapsed() < LIVENESS_PERIOD
+            && at.elapsed() < LIVENESS_INTERVAL
         {
             return alive;
         }
 
         let hello = Control::Hello { protocol: PROTOCOL_VERSION };
-        let asked = timeout(LIVENESS_LIMIT, self.control(address, &hello)).await;
-        let alive = matches!(asked, Ok(Ok(_)));
+        let answer = timeout(LIVENESS_TIMEOUT, self.control(address, &hello)).await;
+        let alive = matches!(answer, Ok(Ok(_)));
         *last = Some((Instant::now(), alive));
         alive
     }
 
-    /// Drops what is kept of peers that are no longer wanted.
+    /// Removes the links and identities of all peers but those that `keep` accepts.
     pub fn retain(&self, keep: impl Fn(&SocketAddr) -> bool) {
         self.pool.retain(&keep);
         self.lock().retain(|address, _| keep(address));
@@ -110,14 +113,14 @@
     }
 
     fn lock(&self) -> std::sync::MutexGuard<'_, HashMap<SocketAddr, (u64, PeerHello)>> {
-        self.known.lock().unwrap_or_else(PoisonError::into_inner)
+        self.hellos.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 impl Service for Directory {
     fn dump(&self) -> Value {
-        let known = self.lock();
-        let peers: Vec<Value> = known
+        let hellos = self.lock();
+        let peers: Vec<Value> = hellos
             .iter()
             .map(|(address, (_, hello))| {
                 json!({ "address": address, "name": hello.name, "incarnation": hello.incarnation })
@@ -128,17 +131,17 @@
     }
 }
 
-async fn greet(link: &Link) -> Result<PeerHello> {
-    match control_on(link, &Control::Hello { protocol: PROTOCOL_VERSION }).await? {
+async fn request_hello(link: &Link) -> Result<PeerHello> {
+    match send_control(link, &Control::Hello { protocol: PROTOCOL_VERSION }).await? {
         ControlAnswer::Hello(hello) if hello.protocol == PROTOCOL_VERSION => Ok(hello),
         ControlAnswer::Hello(hello) => {
-            Err(Error::Protocol(format!("the peer speaks version {}", hello.protocol)))
+            Err(Error::Protocol(format!("peer has protocol version {}", hello.protocol)))
         }
-        _ => protocol_error("a hello was not answered with one"),
+        _ => protocol_error("unexpected answer to a hello"),
     }
 }
 
-async fn control_on(link: &Link, message: &Control) -> Result<ControlAnswer> {
+async fn send_control(link: &Link, message: &Control) -> Result<ControlAnswer> {
     let exchange = async {
         let mut stream = link.open(CONTROL_PATH).await?;
         stream.writer.send_last(message).await?;
@@ -147,7 +150,7 @@
         reader.expect().await
     };
 
-    match timeout(CONTROL_LIMIT, exchange).await {
+    match timeout(CONTROL_TIMEOUT, exchange).await {
         Ok(answer) => answer,
         Err(_) => timeout_error("a peer's answer"),
     }
--- a/grebedeck/src/lib.rs
+++ b/grebedeck/src/lib.rs
@@ -1,8 +1,9 @@
 //! The processes of grebedeck.
 //!
-//! An [`entry`] takes callers' requests and an [`agent`] stands beside each target. Both have the
+//! An [`entry`] accepts callers' requests and an [`agent`] runs beside each target. Both have the
 //! same [`config`] service, the same listener for their [`peer`]s, and the same [`operator`] port.
-//! The decisions that they carry out are made in the pure crates.
+//! A [`gateway`] and the [`rank`] processes replace them on platforms whose targets register
+//! themselves. This crate does the I/O; the decisions are made in crates that do none.
 
 #![forbid(unsafe_code)]
 
--- a/grebedeck/src/liveness.rs
+++ b/grebedeck/src/liveness.rs
@@ -1,4 +1,4 @@
-//! Looking at a target on which an attempt broke, whether it has crashed.
+//! Probe of a target after a failed attempt, to find out whether the target has crashed.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,11 +7,13 @@
 use grebedeck_http::Connection;
 use grebedeck_routing::quarantine::ProbeResult;
 
-/// Connections that are tried until one stays open or is refused.
+/// Maximum number of connections to try until one stays open or is refused.
 const MAX_CONNECTS: u32 = 3;
 
-/// Finds out whether a target has crashed: it then refuses connections. One that is ending may still accept some, so
-/// a connection has to stay open for a while. Where the target is alive, the connection is given as well.
+/// Determines whether a target has crashed.
+///
+/// A crashed target refuses connections. A target that is exiting may still accept some, so it
+/// counts as alive only if a connection stays open for `stays_open`; that connection is returned.
 pub async fn probe(
     address: SocketAddr,
     connect_limit: Duration,
--- a/grebedeck/src/main.rs
+++ b/grebedeck/src/main.rs
@@ -18,8 +18,8 @@
 fn main() -> ExitCode {
     let command = options().run();
 
-    // Waiting on this thread's own reactor keeps a gateway, which has no other thread, from starting the
-    // pool of async-std.
+    // The reactor of this thread is enough for a gateway, which is single-threaded; async-std's
+    // block_on would start its thread pool.
     match async_io::block_on(run(command)) {
         Ok(code) => ExitCode::from(code),
         Err(error) => {
@@ -59,7 +59,7 @@
 
 async fn run_entry(file: &Path) -> Result<u8> {
     let settings: EntrySettings = settings::read(file)?;
-    prepare()?;
+    init_process()?;
     let limit_ms = settings.common.drain_limit_ms;
     let entry = Entry::try_new(settings).await?;
 
@@ -68,7 +68,7 @@
 
 async fn run_agent(file: &Path) -> Result<u8> {
     let settings: AgentSettings = settings::read(file)?;
-    prepare()?;
+    init_process()?;
     let limit_ms = settings.common.drain_limit_ms;
     let agent = Agent::try_new(settings).await?;
 
@@ -77,51 +77,52 @@
 
 async fn run_gateway(file: &Path) -> Result<u8> {
     let settings: GatewaySettings = settings::read(file)?;
-    prepare()?;
+    init_process()?;
     let store = Store::new(settings.store_address, millis(settings.store_limit_ms));
     let tasks = gateway::Tasks::default();
 
-    let ran = tasks.run(gateway::run(tasks.clone(), file, settings, HEADER_NAMES, store)).await;
+    let result = tasks.run(gateway::run(tasks.clone(), file, settings, HEADER_NAMES, store)).await;
     grebedeck_kernel::log::finish();
-    ran?;
+    result?;
     Ok(0)
 }
 
 async fn run_rank(file: &Path) -> Result<u8> {
     let settings: RankSettings = settings::read(file)?;
-    prepare()?;
+    init_process()?;
     let store = Store::new(settings.store_address, millis(settings.store_limit_ms));
     let engine = Engine::new(settings.target_address, rank::options::ENGINE_LIMIT);
     let tasks = gateway::Tasks::default();
 
-    let ran = tasks.run(rank::run(tasks.clone(), settings, store, engine)).await;
+    let result = tasks.run(rank::run(tasks.clone(), settings, store, engine)).await;
     grebedeck_kernel::log::finish();
-    ran?;
+    result?;
     Ok(0)
 }
 
-fn prepare() -> Result<()> {
+/// Starts logging and sets up the abort on panic.
+fn init_process() -> Result<()> {
     grebedeck_kernel::log::start(spdlog::Level::Info)?;
-    stop_on_broken_invariant();
+    abort_on_panic();
 
     Ok(())
 }
 
-/// Waits for a signal, then for what is in flight.
+/// Waits for a signal to stop, then until no work is in flight; returns the exit code.
 async fn run_until_stopped(kernel: &Kernel, drain_limit_ms: u64) -> Result<u8> {
     stop::wait_for_signal().await?;
-    let whole = stop::drain(kernel, millis(drain_limit_ms)).await;
+    let is_drained = stop::drain(kernel, millis(drain_limit_ms)).await;
 
-    Ok(if whole { 0 } else { EXIT_UNKNOWN })
+    Ok(if is_drained { 0 } else { EXIT_UNKNOWN })
 }
 
-/// Makes a panic in any task end the process: only broken invariants panic, and a process whose
-/// invariants broke must not go on.
-fn stop_on_broken_invariant() {
-    let print = std::panic::take_hook();
+/// Makes a panic in any task abort the process. Only broken invariants panic, and the process must
+/// not continue with its invariants broken.
+fn abort_on_panic() {
+    let default_hook = std::panic::take_hook();
 
     std::panic::set_hook(Box::new(move |panic| {
-        print(panic);
+        default_hook(panic);
         std::process::abort();
     }));
 }
--- a/grebedeck/src/message.rs
+++ b/grebedeck/src/message.rs
@@ -1,4 +1,4 @@
-//! Messages between grebedeck's processes.
+//! Messages between grebedeck processes.
 
 use grebedeck_config::CatchUp;
 use grebedeck_core::{
@@ -11,46 +11,46 @@
 use grebedeck_routing::{Key, LoadReport, Report, StrikeAnswer};
 use serde::{Deserialize, Serialize};
 
-/// Version of the protocol; peers with another one refuse each other.
+/// Version of the protocol; peers with different versions refuse each other.
 pub const PROTOCOL_VERSION: u16 = 1;
 /// Path of a stream that carries one attempt.
 pub const WORK_PATH: &str = "/work";
-/// Path of a stream that carries one control message and its answer.
+/// Path of a stream that carries one control message and the answer to it.
 pub const CONTROL_PATH: &str = "/control";
-/// Largest body part in one frame, in bytes.
+/// Maximum length of the body part in one frame.
 pub const BODY_PART_BYTES: usize = 32 << 10;
 
-/// From an entry to an agent, on a work stream.
+/// Message from an entry to an agent on a work stream.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ToAgent {
-    /// Opens the attempt.
+    /// Starts the attempt.
     Start(Box<WorkStart>),
     /// Part of the request's body.
     Body(Vec<u8>),
-    /// The request is whole.
+    /// End of the request.
     End(EndMark),
 }
 
-/// The head of an attempt.
+/// Head of an attempt.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WorkStart {
-    /// The attempt.
+    /// Id of the attempt.
     pub attempt: AttemptId,
-    /// The incarnation of the agent that the entry means.
+    /// Incarnation of the agent for which the attempt is meant.
     pub incarnation: Incarnation,
-    /// The organisation that the caller named.
+    /// Organisation that the caller named.
     pub organisation: OrganisationName,
-    /// The service that the caller named.
+    /// Service that the caller named.
     pub service: ServiceName,
-    /// The revision under which the request was admitted.
+    /// Configuration revision under which the request was admitted.
     pub revision: Revision,
-    /// Whether it may wait for a place on the target.
+    /// Whether the attempt may wait for a slot on the target.
     pub may_wait: bool,
-    /// The key of a request that runs at most once.
+    /// Idempotency key of a request that must run at most once.
     pub key: Option<Key>,
-    /// When the entry sent it, by the entry's wall clock.
+    /// Send time by the entry's wall clock.
     pub sent_unix_ms: UnixMs,
-    /// Time left until nobody waits for the answer, in milliseconds.
+    /// Remaining time until the caller's deadline, in milliseconds.
     pub deadline_ms: Option<u64>,
     /// HTTP method.
     pub method: String,
@@ -60,18 +60,18 @@
     pub headers: Vec<(String, String)>,
 }
 
-/// Says that a body is whole, and binds it to its attempt.
+/// End of a body, with a digest that binds the body to its attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndMark {
-    /// The attempt.
+    /// Id of the attempt.
     pub attempt: AttemptId,
-    /// Length of the whole body in bytes.
+    /// Length of the body in bytes.
     pub len_bytes: u64,
-    /// Digest of the whole body.
+    /// Digest of the attempt's id and the body.
     pub digest: Digest,
 }
 
-/// Follows a body as it passes, to make or to check its end mark.
+/// Running digest of a body, to create or to check its end mark.
 pub struct BodyDigest {
     attempt: AttemptId,
     writer: DigestWriter,
@@ -79,23 +79,23 @@
 }
 
 impl BodyDigest {
-    /// Starts the body of an attempt.
+    /// Starts the digest of an attempt's body.
     pub fn new(attempt: AttemptId) -> Self {
         let mut writer = DigestWriter::default();
-        // With the attempt in the digest, the body of another one never matches.
+        // The digest covers the attempt's id, so the body of another attempt never matches.
         writer.update(&attempt.request.to_be_bytes());
         writer.update(&attempt.number.to_be_bytes());
 
         BodyDigest { attempt, writer, len_bytes: 0 }
     }
 
-    /// Adds the next part.
+    /// Adds the next part of the body.
     pub fn update(&mut self, part: &[u8]) {
         self.writer.update(part);
         self.len_bytes += part.len() as u64;
     }
 
-    /// Gets the end mark of all parts so far.
+    /// End mark for all parts added so far.
     pub fn end_mark(&self) -> EndMark {
         let (attempt, len_bytes) = (self.attempt, self.len_bytes);
 
@@ -103,147 +103,148 @@
     }
 }
 
-/// From an agent to an entry, on a work stream.
+/// Message from an agent to an entry on a work stream.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum FromAgent {
     /// The attempt ends without an answer.
     Verdict(WorkVerdict, LoadReport),
-    /// The head of the target's answer.
+    /// Head of the target's answer.
     Head(AnswerHead),
     /// Part of the answer's body.
     Body(Vec<u8>),
-    /// The answer is whole.
+    /// End of the answer.
     End(EndMark, LoadReport),
 }
 
-/// The head of a target's answer.
+/// Head of a target's answer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AnswerHead {
-    /// The attempt.
+    /// Id of the attempt.
     pub attempt: AttemptId,
     /// HTTP status.
     pub status: u16,
     /// End-to-end headers.
     pub headers: Vec<(String, String)>,
-    /// Length of the body in bytes, where it is known ahead.
+    /// Length of the body in bytes, if known in advance.
     pub len_bytes: Option<u64>,
 }
 
 /// Why an attempt ends without an answer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum WorkVerdict {
-    /// It was not run and will not be.
+    /// The attempt did not run and will not run.
     Refused(Reason),
-    /// The request may have run by another attempt.
+    /// Another attempt may have run the request.
     InDoubt(Reason),
-    /// The target had the request and gave no answer.
+    /// The target received the request and did not answer.
     TargetFailed,
-    /// The same, as the target crashed.
+    /// The target received the request and crashed.
     TargetCrashed {
-        /// Number of the crash in this life of the agent.
+        /// Sequence number of the crash since the agent started.
         crash: u64,
     },
 }
 
-/// One control message.
+/// Control message between peers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Control {
-    /// Asks who the receiver is.
+    /// Requests the receiver's identity.
     Hello {
-        /// The sender's protocol version.
+        /// Protocol version of the sender.
         protocol: u16,
     },
-    /// Strikes out an attempt that has not started.
+    /// Cancels an attempt that has not started.
     Strike {
-        /// The attempt.
+        /// Id of the attempt.
         attempt: AttemptId,
-        /// The incarnation that it was sent to.
+        /// Incarnation of the agent to which the attempt was sent.
         incarnation: Incarnation,
     },
-    /// Says what configuration the sender has.
+    /// Announces the sender's configuration revision.
     Heartbeat {
-        /// The sender's revision.
+        /// Revision in force at the sender.
         revision: Revision,
     },
-    /// Brings the receiver's configuration up to the sender's.
+    /// Updates the receiver's configuration to the sender's revision.
     CatchUp(CatchUp),
-    /// A message of the switch protocol, with the map that a proposal means.
+    /// Message of the switch protocol, with the proposed map.
     Switch {
-        /// The message.
+        /// Protocol message.
         message: SwitchMessage,
-        /// What differs from the base's map, with
-        /// [`Prepare`](grebedeck_experts::switch::Body::Prepare).
+        /// Difference from the base map; sent with
+        /// [`Prepare`](grebedeck_experts::switch::Body::Prepare) only.
         map: Option<MapDelta>,
     },
     /// Token counts of the sender's ranks since its last report.
     Counts(GroupCounts),
-    /// Asks for the map of a version.
+    /// Requests the map of a version.
     MapOf(MapVersion),
     /// Crashes of targets, between entries.
     Suspects(SuspectMessage),
 }
 
-/// Between gateways and between entries: crashes of targets, and requests that ran under them.
+/// Message between gateways, or between entries, on crashes of targets and the requests that were
+/// running at the time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum SuspectMessage {
-    /// It wants to be told all, if what it knows has another digest than what the other one knows.
+    /// Requests the receiver's full state if its digest differs from the sender's.
     Ask {
-        /// The digest.
+        /// Digest of the sender's state.
         digest: u64,
     },
-    /// News, or a part of all.
+    /// Update, or a part of the full state.
     Tell(Report),
 }
 
-/// Token counts of a member's ranks.
+/// Token counts of a group member's ranks.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct GroupCounts {
-    /// The engine's next step when it counted.
+    /// First step that the counts do not include.
     pub until_step: Step,
-    /// The ranks that counted.
+    /// Ranks that were counted.
     pub ranks: Vec<Rank>,
-    /// Time per token of each of the ranks, relative to a normal rank.
+    /// Time per token of each of these ranks, relative to a normal rank.
     pub rank_costs: Vec<f32>,
-    /// Tokens sent to each expert, by layer, as
-    /// [`encode_count`](grebedeck_experts::counter::encode_count) writes them.
+    /// Tokens sent to each expert, by layer, encoded by
+    /// [`encode_count`](grebedeck_experts::counter::encode_count).
     pub layers: Vec<(Layer, Vec<u8>)>,
 }
 
 /// Answer to a control message.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ControlAnswer {
-    /// Who the answering process is.
+    /// Identity of the answering process.
     Hello(PeerHello),
-    /// What became of a strike.
+    /// Result of a [`Control::Strike`].
     Strike(StrikeAnswer),
-    /// The answering process's configuration.
+    /// State of the answering process's configuration.
     Heartbeat {
-        /// Its revision.
+        /// Revision in force.
         revision: Revision,
-        /// What brings the asker up to it.
+        /// Update to that revision, if the sender is behind.
         catch_up: Option<CatchUp>,
     },
-    /// The map that was asked for.
+    /// Requested map, if known.
     Map(Option<ExpertMap>),
-    /// The message was taken.
+    /// The message was received.
     Taken,
-    /// The answering process does not do that.
+    /// The answering process does not support the message.
     NotSupported,
-    /// All that the answering process knows of crashes, where that is something else.
+    /// Full state on crashes of the answering process, if it differs from the sender's.
     Suspects(Option<Report>),
 }
 
-/// Who a process is.
+/// Identity of a process.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerHello {
-    /// Its protocol version.
+    /// Protocol version.
     pub protocol: u16,
-    /// Its name; an agent has the name of its target.
+    /// Name of the process; an agent has the name of its target.
     pub name: InstanceName,
-    /// Its role.
+    /// Role of the process.
     pub role: Role,
-    /// Its life.
+    /// Incarnation of the process, which is new with each start.
     pub incarnation: Incarnation,
-    /// Whether it is stopping.
+    /// Whether the process is stopping.
     pub leaving: bool,
 }
--- a/grebedeck/src/operator.rs
+++ b/grebedeck/src/operator.rs
@@ -1,4 +1,4 @@
-//! The operators' port: configuration, dump, metrics.
+//! The operator port: health, configuration, state dump and metrics over HTTP.
 
 use std::sync::Arc;
 
@@ -19,49 +19,49 @@
 use crate::directory::Directory;
 use crate::message::{Control, ControlAnswer};
 
-/// Processes that are asked for their revision at the same time.
-const ASKED_AT_ONCE: usize = 32;
-/// Most entries of the history in one answer.
-const HISTORY_COUNT: u64 = 50;
+/// Maximum number of processes that are asked for their revision at the same time.
+const MAX_CONCURRENT_QUERIES: usize = 32;
+/// Maximum number of history entries in one answer.
+const MAX_HISTORY_ENTRIES: u64 = 50;
 
-/// What the operators' port works with.
+/// State of the operator port.
 #[derive(Clone)]
 pub struct OperatorApi {
-    /// The process's services.
+    /// Services of the process.
     pub kernel: Kernel,
-    /// The process's metrics.
+    /// Metrics of the process.
     pub metrics: Metrics,
-    /// The configuration's store, in a process that takes changes.
+    /// Store of the configuration, in a process that accepts changes.
     pub store: Option<ConfigStore<HttpTable>>,
-    /// The configuration in force.
+    /// Configuration in force.
     pub config: Arc<ConfigService>,
-    /// The instances that the platform lists.
+    /// Instances that the platform lists.
     pub members: Arc<Members>,
     /// Links to peers.
     pub directory: Arc<Directory>,
 }
 
-/// The configuration as an operator gets it.
+/// Configuration as shown to an operator.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct ConfigView {
-    /// The revision in force in the process that was asked.
+    /// Revision in force in the answering process.
     pub revision: Revision,
-    /// The document.
+    /// Document of that revision.
     pub document: Document,
 }
 
 /// Which processes have a revision in force.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct InForce {
-    /// The revision asked about.
+    /// Requested revision.
     pub revision: Revision,
-    /// Processes that have it.
+    /// Number of processes that have this revision or a newer one in force.
     pub confirmed: usize,
-    /// Processes that have not.
+    /// Names of the processes that do not, or did not answer.
     pub missing: Vec<InstanceName>,
 }
 
-/// Serves the operators' port until the task is dropped.
+/// Serves the operator port until the task is dropped.
 pub async fn serve_operator(listener: TcpListener, operator: OperatorApi) {
     let app = app(operator);
     let respond = move |request: http_types::Request, _| {
@@ -93,7 +93,7 @@
     app
 }
 
-/// Tells the platform's balancer whether the process takes requests.
+/// Readiness check for the platform's balancer.
 async fn health(request: Request<OperatorApi>) -> tide::Result {
     let operator = request.state();
     let stopping = operator.kernel.dump()["entry"]["stopping"].as_bool().unwrap_or(false);
@@ -124,9 +124,9 @@
     let change: Change = match serde_json::from_slice(&text) {
         Ok(change) => change,
         Err(error) => {
-            let place = format!("line {}, column {}", error.line(), error.column());
+            let position = format!("line {}, column {}", error.line(), error.column());
             let mut faults = grebedeck_core::Faults::default();
-            faults.add(place, "", error.to_string());
+            faults.add(position, "", error.to_string());
             return answer_change(&AcceptResult::Refused(faults));
         }
     };
@@ -166,7 +166,7 @@
         return Ok(Response::new(StatusCode::MethodNotAllowed));
     };
 
-    match store.history(HISTORY_COUNT).await {
+    match store.history(MAX_HISTORY_ENTRIES).await {
         Ok(entries) => Ok(Body::from_json(&entries)?.into()),
         Err(error) => {
             let mut response = Response::new(StatusCode::ServiceUnavailable);
@@ -186,9 +186,9 @@
     let operator = request.state();
     let instances = operator.members.all();
 
-    let asks = instances.into_iter().map(|instance| async move {
-        let ask = Control::Heartbeat { revision: Revision::MAX };
-        let answer = operator.directory.control(instance.peer_address, &ask).await;
+    let queries = instances.into_iter().map(|instance| async move {
+        let heartbeat = Control::Heartbeat { revision: Revision::MAX };
+        let answer = operator.directory.control(instance.peer_address, &heartbeat).await;
         let has = matches!(
             answer,
             Ok(ControlAnswer::Heartbeat { revision, .. }) if revision >= query.revision
@@ -198,7 +198,7 @@
     });
 
     let answers: Vec<(InstanceName, bool)> =
-        futures::stream::iter(asks).buffer_unordered(ASKED_AT_ONCE).collect().await;
+        futures::stream::iter(queries).buffer_unordered(MAX_CONCURRENT_QUERIES).collect().await;
     let confirmed = answers.iter().filter(|(_, has)| *has).count();
     let missing = answers.into_iter().filter(|(_, has)| !has).map(|(name, _)| name).collect();
 
--- a/grebedeck/src/pages.rs
+++ b/grebedeck/src/pages.rs
@@ -1,5 +1,5 @@
-//! Short answers on a process's other ports: readiness, metrics, state, and what gateways tell each
-//! other.
+//! Minimal HTTP server for a process's internal ports: readiness, metrics, state dumps, and the
+//! exchange between gateways.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,44 +10,44 @@
 use grebedeck_http::{Connection, RequestHead, ResponseHead};
 use grebedeck_kernel::log;
 
-/// Pause after a failed accept, such as for lack of file descriptors.
+/// Pause after a failed accept, for example when the process is out of file descriptors.
 pub const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-/// Longest head of a request, in bytes.
+/// Maximum length of the head of a request.
 const MAX_HEAD_BYTES: usize = 16 << 10;
-/// How long a connection may rest; whoever asks does so every few seconds at the most.
-const REST_LIMIT: Duration = Duration::from_secs(10);
-/// How long an asker may take to read its answer.
-const WRITE_LIMIT: Duration = Duration::from_secs(5);
+/// How long a connection may stay idle. Clients send a request every few seconds or more often.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
+/// Timeout of writing an answer.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// An answer.
+/// Answer to a request.
 pub struct Page {
-    /// Its status.
+    /// HTTP status.
     pub status: u16,
-    /// The type of its body.
+    /// Content type of the body.
     pub content_type: &'static str,
-    /// Its body.
+    /// Body.
     pub body: Vec<u8>,
 }
 
 impl Page {
-    /// Makes an answer without a body.
+    /// Answer without a body.
     pub fn empty(status: u16) -> Self {
         Page { status, content_type: "text/plain", body: Vec::new() }
     }
 
-    /// Makes an answer with bytes.
+    /// Answer with a binary body.
     pub fn bytes(body: Vec<u8>) -> Self {
         Page { status: 200, content_type: "application/octet-stream", body }
     }
 
-    /// Makes an answer with JSON.
+    /// Answer with JSON.
     pub fn json(value: &serde_json::Value) -> Self {
         let body = value.to_string().into_bytes();
 
         Page { status: 200, content_type: "application/json", body }
     }
 
-    /// Makes an answer with text.
+    /// Answer with text in the exposition format of Prometheus.
     pub fn text(text: String) -> Self {
         Page { status: 200, content_type: "text/plain; version=0.0.4", body: text.into_bytes() }
     }
@@ -68,7 +68,7 @@
     }
 }
 
-/// Answers requests without bodies until the task is dropped.
+/// Serves requests without bodies until the task is dropped.
 pub async fn serve(
     tasks: Rc<LocalExecutor<'static>>,
     listener: TcpListener,
@@ -76,7 +76,7 @@
 ) {
     loop {
         match listener.accept().await {
-            Ok((stream, _)) => tasks.spawn(serve_one(stream, answer.clone())).detach(),
+            Ok((stream, _)) => tasks.spawn(serve_connection(stream, answer.clone())).detach(),
             Err(error) => {
                 log::warn!("accept failed", kv: { error = error.to_string() });
                 async_std::task::sleep(ACCEPT_PAUSE).await;
@@ -85,16 +85,16 @@
     }
 }
 
-async fn serve_one(stream: TcpStream, answer: impl AsyncFn(&RequestHead) -> Page) {
+async fn serve_connection(stream: TcpStream, answer: impl AsyncFn(&RequestHead) -> Page) {
     let mut connection = Connection::new(stream);
 
     loop {
-        let read = timeout(REST_LIMIT, connection.read_request_head(MAX_HEAD_BYTES)).await;
+        let read = timeout(IDLE_TIMEOUT, connection.read_request_head(MAX_HEAD_BYTES)).await;
         let Ok(Ok(request)) = read else {
             return;
         };
         let bytes = answer(&request).await.into_bytes(request.keeps_alive());
-        let written = timeout(WRITE_LIMIT, connection.write_all(&bytes)).await;
+        let written = timeout(WRITE_TIMEOUT, connection.write_all(&bytes)).await;
 
         if !matches!(written, Ok(Ok(()))) || !request.keeps_alive() {
             return;
--- a/grebedeck/src/peer.rs
+++ b/grebedeck/src/peer.rs
@@ -1,4 +1,4 @@
-//! What a process answers to its peers.
+//! Handler of the streams that peers open to a process.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,22 +16,22 @@
     CONTROL_PATH, Control, ControlAnswer, PROTOCOL_VERSION, PeerHello, WORK_PATH,
 };
 
-/// How long a peer may take to send its control message.
-const CONTROL_LIMIT: Duration = Duration::from_secs(5);
+/// Timeout of receiving a control message.
+const CONTROL_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Answers the streams of peers.
+/// Handler of peers' streams.
 pub struct PeerHandler {
-    /// Who this process is.
+    /// Identity of this process.
     pub hello: PeerHello,
-    /// The process's configuration.
+    /// Configuration in force.
     pub config: Arc<ConfigService>,
-    /// The agent's service, in an agent.
+    /// Service of an agent; `None` in an entry.
     pub agent: Option<Arc<AgentService>>,
-    /// The group's service, in an agent beside a rank.
+    /// Service of a model's group, in an agent beside a rank.
     pub group: Option<Arc<GroupService>>,
-    /// What is known of crashes, in an entry.
+    /// Crashes and suspected requests, in an entry.
     pub suspects: Option<Arc<Suspects>>,
-    /// Counts streams and connections that did not follow the protocol.
+    /// Streams and connections that violated the protocol.
     pub faults: Counter,
 }
 
@@ -61,7 +61,7 @@
 
 impl PeerHandler {
     async fn control(&self, mut reader: FrameReader, mut writer: FrameWriter) -> Result<()> {
-        let Ok(message) = timeout(CONTROL_LIMIT, reader.expect::<Control>()).await else {
+        let Ok(message) = timeout(CONTROL_TIMEOUT, reader.expect::<Control>()).await else {
             return Ok(());
         };
 
@@ -84,8 +84,8 @@
                 Some(agent) => ControlAnswer::Strike(agent.strike(attempt, incarnation)),
                 None => ControlAnswer::NotSupported,
             },
-            Control::Switch { message, map } => self.to_group(|g| g.receive(message, map)),
-            Control::Counts(counts) => self.to_group(|g| g.count(counts)),
+            Control::Switch { message, map } => self.with_group(|g| g.receive(message, map)),
+            Control::Counts(counts) => self.with_group(|g| g.count(counts)),
             Control::Suspects(message) => match &self.suspects {
                 Some(suspects) => ControlAnswer::Suspects(suspects.answer(message)),
                 None => ControlAnswer::NotSupported,
@@ -97,10 +97,10 @@
         }
     }
 
-    fn to_group(&self, tell: impl FnOnce(&GroupService)) -> ControlAnswer {
+    fn with_group(&self, deliver: impl FnOnce(&GroupService)) -> ControlAnswer {
         match &self.group {
             Some(group) => {
-                tell(group);
+                deliver(group);
                 ControlAnswer::Taken
             }
             None => ControlAnswer::NotSupported,
--- a/grebedeck/src/process.rs
+++ b/grebedeck/src/process.rs
@@ -1,4 +1,4 @@
-//! What every process of grebedeck consists of, whatever its role.
+//! The listeners and services that entries and agents have in common.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -24,41 +24,41 @@
 use crate::settings::{CommonSettings, millis};
 use crate::wire;
 
-/// The listeners and services that every role needs.
+/// Listeners and services of a process, before its tasks start.
 pub struct Process {
-    /// The process's services.
+    /// Services of the process.
     pub kernel: Kernel,
-    /// Its metrics.
+    /// Metrics of the process.
     pub metrics: Metrics,
-    /// Its clock.
+    /// Clock of the process.
     pub clock: Clock,
-    /// This life of the process.
+    /// Incarnation of the process, which is new with each start.
     pub incarnation: Incarnation,
     role: Role,
     settings: CommonSettings,
     peer_listener: TcpListener,
     operator_listener: TcpListener,
     config: Arc<ConfigService>,
-    /// The instances that the platform lists.
+    /// Instances that the platform lists.
     pub members: Arc<Members>,
-    /// Links to them.
+    /// Links to peers.
     pub directory: Arc<Directory>,
 }
 
-/// The services that only some roles have.
+/// Services that only some roles have.
 #[derive(Default)]
 pub struct RoleServices {
-    /// The agent's own service.
+    /// Service of an agent.
     pub agent: Option<Arc<AgentService>>,
-    /// The group's service, beside a rank.
+    /// Service of a model's group, in an agent beside a rank.
     pub group: Option<Arc<GroupService>>,
-    /// What an entry knows of crashes.
+    /// Crashes and suspected requests, in an entry.
     pub suspects: Option<Arc<Suspects>>,
 }
 
 impl Process {
-    /// Listens on the process's ports, notes those that it got in the settings, and registers its
-    /// services.
+    /// Opens the listeners, updates the settings with the ports that were assigned, and registers
+    /// the services.
     pub async fn try_new(
         role: Role,
         settings: &mut CommonSettings,
@@ -80,7 +80,7 @@
             kernel,
             metrics,
             clock,
-            // Wall-clock time grows from one life to the next, as long as no clock is set back.
+            // Wall-clock time increases from one start to the next, unless the clock is set back.
             incarnation: grebedeck_core::time::unix_ms(),
             role,
             settings: settings.clone(),
@@ -92,35 +92,35 @@
         })
     }
 
-    /// Starts the tasks that every role has.
-    pub fn start(self, parts: RoleServices) -> Vec<JoinHandle<()>> {
+    /// Starts the tasks that all roles have in common.
+    pub fn start(self, services: RoleServices) -> Vec<JoinHandle<()>> {
         let limit = millis(self.settings.platform_limit_ms);
         let table = HttpTable::new(self.settings.table_address, limit);
         let list = HttpInstances::new(self.settings.instances_address, limit);
         let store = ConfigStore::new(table, self.config.clone());
 
-        let handler = self.peer_handler(parts);
+        let handler = self.peer_handler(services);
         let operator = OperatorApi {
             kernel: self.kernel,
             metrics: self.metrics,
-            // Operators' changes go through the entries.
+            // Only entries accept changes from operators.
             store: (self.role == Role::Entry).then(|| store.clone()),
             config: self.config.clone(),
             members: self.members.clone(),
             directory: self.directory.clone(),
         };
-        let spread = ConfigSync::new(self.settings, self.config, self.members, self.directory);
+        let sync = ConfigSync::new(self.settings, self.config, self.members, self.directory);
 
         vec![
-            async_std::task::spawn(spread.clone().follow_instances(list)),
-            async_std::task::spawn(spread.clone().follow_store(store)),
-            async_std::task::spawn(spread.follow_peers()),
+            async_std::task::spawn(sync.clone().follow_instances(list)),
+            async_std::task::spawn(sync.clone().follow_store(store)),
+            async_std::task::spawn(sync.follow_peers()),
             async_std::task::spawn(listen(self.peer_listener, Arc::new(handler))),
             async_std::task::spawn(serve_operator(self.operator_listener, operator)),
         ]
     }
 
-    fn peer_handler(&self, parts: RoleServices) -> PeerHandler {
+    fn peer_handler(&self, services: RoleServices) -> PeerHandler {
         let faults = self.metrics.counter(
             "grebedeck_peer_faults",
             "on",
@@ -136,15 +136,15 @@
                 leaving: false,
             },
             config: self.config.clone(),
-            agent: parts.agent,
-            group: parts.group,
-            suspects: parts.suspects,
+            agent: services.agent,
+            group: services.group,
+            suspects: services.suspects,
             faults,
         }
     }
 }
 
-/// Listens on an address, and puts the port that was taken into it.
+/// Listens on an address and updates it with the port that was assigned.
 pub async fn bind(address: &mut SocketAddr) -> anyhow::Result<TcpListener> {
     let listener = TcpListener::bind(*address)
         .await
@@ -154,7 +154,7 @@
     Ok(listener)
 }
 
-/// Ends tasks at once; work in flight is cut off unless it was drained before.
+/// Cancels tasks immediately; work in flight is lost unless it was drained before.
 pub async fn cancel(tasks: Vec<JoinHandle<()>>) {
     for task in tasks {
         task.cancel().await;
--- a/grebedeck/src/random.rs
+++ b/grebedeck/src/random.rs
@@ -1,10 +1,10 @@
-//! The process's source of randomness.
+//! Random numbers of the process.
 
 use grebedeck_core::RandomSource;
 use rand::Rng;
 use rand::rngs::ThreadRng;
 
-/// Draws from the thread's generator.
+/// Random source that uses the thread's generator.
 pub struct ProcessRandom(ThreadRng);
 
 impl Default for ProcessRandom {
@@ -23,7 +23,7 @@
     }
 }
 
-/// Draws a request's id.
+/// Generates a random request id.
 pub fn request_id() -> grebedeck_core::RequestId {
     rand::rng().random()
 }
--- a/grebedeck/src/settings.rs
+++ b/grebedeck/src/settings.rs
@@ -1,4 +1,5 @@
-//! Settings of the processes, in JSON, checked whole before anything starts.
+//! Settings of entries and agents, in JSON. A settings file is checked completely before the
+//! process starts.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -8,38 +9,38 @@
 use grebedeck_net::platform::{Instance, InstanceState, Role};
 use serde::{Deserialize, Serialize};
 
-/// Settings that every process has.
+/// Settings of entries and agents alike.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CommonSettings {
-    /// The process's name; an agent has the name of its target.
+    /// Name of the process; an agent has the name of its target.
     pub name: String,
-    /// The data hall that it stands in.
+    /// Data hall of the process.
     pub hall: String,
-    /// Where it takes streams from its peers.
+    /// Address for streams from peers.
     pub peer_address: SocketAddr,
-    /// Where it answers operators.
+    /// Address of the operator port.
     pub operator_address: SocketAddr,
-    /// The platform's table service.
+    /// Address of the platform's table service.
     pub table_address: SocketAddr,
-    /// The platform's list of instances.
+    /// Address of the platform's list of instances.
     pub instances_address: SocketAddr,
-    /// How long a call to the platform may take.
+    /// Timeout of a call to the platform.
     #[serde(default = "defaults::platform_limit_ms")]
     pub platform_limit_ms: u64,
-    /// How often the table's head is read, by all processes of the fleet together.
+    /// Reads of the table's head per second, by all processes of the fleet together.
     #[serde(default = "defaults::fleet_reads_per_s")]
     pub fleet_reads_per_s: f64,
-    /// How often peers exchange their revisions.
+    /// Interval at which peers exchange their revisions.
     #[serde(default = "defaults::heartbeat_ms")]
     pub heartbeat_ms: u64,
-    /// How many peers a process exchanges its revision with.
+    /// Number of peers with which a process exchanges its revision.
     #[serde(default = "defaults::peers")]
     pub peers: usize,
-    /// Peers to ask while the list of instances cannot be read, such as in a cut-off site.
+    /// Peers to use while the list of instances cannot be read, such as in a partitioned site.
     #[serde(default)]
     pub seed_peers: Vec<SocketAddr>,
-    /// How long work in flight may go on after a signal to stop.
+    /// How long work in flight may continue after a signal to stop.
     #[serde(default = "defaults::drain_limit_ms")]
     pub drain_limit_ms: u64,
 }
@@ -48,35 +49,35 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EntrySettings {
-    /// What every process has.
+    /// Settings of every role.
     pub common: CommonSettings,
-    /// Where it takes callers' requests.
+    /// Address for callers' requests.
     pub caller_address: SocketAddr,
-    /// Most requests in flight.
+    /// Maximum number of requests in flight.
     #[serde(default = "defaults::entry_in_flight")]
     pub max_in_flight: usize,
-    /// Most callers' connections.
+    /// Maximum number of callers' connections.
     #[serde(default = "defaults::max_connections")]
     pub max_connections: usize,
-    /// Largest request body.
+    /// Maximum size of a request body.
     #[serde(default = "defaults::max_body_bytes")]
     pub max_body_bytes: usize,
-    /// Bytes of request bodies that may be held in memory together.
+    /// Maximum total size of the request bodies in memory.
     #[serde(default = "defaults::max_buffered_bytes")]
     pub max_buffered_bytes: usize,
-    /// How long a request's body may take to arrive.
+    /// Timeout of receiving a request's body.
     #[serde(default = "defaults::body_limit_ms")]
     pub body_limit_ms: u64,
-    /// How long the head of an answer may take, where the caller sets no deadline.
+    /// Timeout of the head of an answer if the caller sets no deadline.
     #[serde(default = "defaults::answer_limit_ms")]
     pub answer_limit_ms: u64,
-    /// How long a connection to an agent may take to be made.
+    /// Timeout of connecting to an agent.
     #[serde(default = "defaults::connect_limit_ms")]
     pub connect_limit_ms: u64,
-    /// Most targets of one service that the entry spreads its requests over.
+    /// Maximum number of targets of a service among which the entry distributes its requests.
     #[serde(default = "defaults::subset_targets")]
     pub subset_targets: usize,
-    /// Time that a revision may take until it is in force everywhere, with the skew of clocks.
+    /// Maximum time until a revision is in force everywhere, including clock skew.
     #[serde(default = "defaults::spread_limit_ms")]
     pub spread_limit_ms: u64,
 }
@@ -85,44 +86,44 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct AgentSettings {
-    /// What every process has.
+    /// Settings of every role.
     pub common: CommonSettings,
-    /// The target's own address.
+    /// Address of the target.
     pub target_address: SocketAddr,
-    /// The engine's control interface, for a rank of a group.
+    /// Control interface of the engine, for a rank of a group.
     #[serde(default)]
     pub engine_address: Option<SocketAddr>,
-    /// Requests that the target runs at the same time.
+    /// Slots of the target: requests that it runs at the same time.
     #[serde(default = "defaults::places")]
     pub places: usize,
-    /// Most requests in flight on the target, with those that wait in it.
+    /// Maximum number of requests in flight on the target, including those waiting there.
     #[serde(default = "defaults::target_in_flight")]
     pub max_in_flight: usize,
-    /// Largest request body.
+    /// Maximum size of a request body.
     #[serde(default = "defaults::max_body_bytes")]
     pub max_body_bytes: usize,
-    /// How long a used key is remembered.
+    /// How long a used idempotency key is remembered.
     #[serde(default = "defaults::key_memory_ms")]
     pub key_memory_ms: u64,
-    /// Most keys remembered.
+    /// Maximum number of remembered keys.
     #[serde(default = "defaults::max_keys")]
     pub max_keys: usize,
-    /// Most that two processes' wall clocks may differ.
+    /// Maximum difference between the wall clocks of two processes.
     #[serde(default = "defaults::clock_margin_ms")]
     pub clock_margin_ms: u64,
-    /// How a group weighs step time against the cost of moving weights.
+    /// Balancing of a group's experts.
     #[serde(default)]
     pub balance: BalanceSettings,
 }
 
-/// How a group weighs step time against the cost of moving weights.
+/// Trade-off between a group's step time and the cost of moving expert weights.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct BalanceSettings {
-    /// Weight of step time.
+    /// Weight of the step time.
     #[serde(default = "defaults::skew_weight")]
     pub skew_weight: f32,
-    /// Weight of moved weights and of switches.
+    /// Weight of the cost of moving experts and switching maps.
     #[serde(default = "defaults::cost_weight")]
     pub cost_weight: f32,
     /// Time to load one expert of one layer.
@@ -131,10 +132,10 @@
     /// Time that a layer's tokens would take on a single rank.
     #[serde(default = "defaults::layer_work_ms")]
     pub layer_work_ms: f32,
-    /// How often the engine's counters are read.
+    /// Interval at which the engine's counters are read.
     #[serde(default = "defaults::counts_ms")]
     pub counts_ms: u64,
-    /// How often a new map is considered.
+    /// Interval at which a new map is considered.
     #[serde(default = "defaults::plan_ms")]
     pub plan_ms: u64,
 }
@@ -230,14 +231,14 @@
     }
 }
 
-/// Settings that can be checked as a whole.
+/// Validation of settings.
 pub trait Check {
-    /// Adds every fault.
+    /// Adds every fault to `faults`.
     fn check(&self, faults: &mut Faults);
 }
 
 impl CommonSettings {
-    /// Gets the process as the platform would list it while it is live.
+    /// Entry of the process in the platform's list while it is live.
     pub fn instance(&self, role: Role, incarnation: Incarnation) -> Instance {
         Instance {
             name: self.name.clone(),
@@ -319,7 +320,7 @@
     }
 }
 
-/// Parses settings and checks them whole.
+/// Parses settings and checks them; returns either the settings or all faults.
 pub fn parse<S: for<'a> Deserialize<'a> + Check>(text: &str) -> Result<S, Faults> {
     let mut faults = Faults::default();
 
@@ -329,14 +330,14 @@
             faults.or(settings)
         }
         Err(error) => {
-            let place = format!("line {}, column {}", error.line(), error.column());
-            faults.add(place, "", error.to_string());
+            let position = format!("line {}, column {}", error.line(), error.column());
+            faults.add(position, "", error.to_string());
             Err(faults)
         }
     }
 }
 
-/// Reads and parses a settings file.
+/// Reads, parses and checks a settings file.
 pub fn read<S: for<'a> Deserialize<'a> + Check>(path: &Path) -> anyhow::Result<S> {
     let text =
         std::fs::read_to_string(path).map_err(|e| anyhow::anyhow!("{}: {e}", path.display()))?;
@@ -344,7 +345,7 @@
     parse(&text).map_err(|faults| anyhow::anyhow!("{}:\n{faults}", path.display()))
 }
 
-/// Gets a duration from a setting in milliseconds.
+/// Converts a setting in milliseconds.
 pub fn millis(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
--- a/grebedeck/src/stop.rs
+++ b/grebedeck/src/stop.rs
@@ -1,11 +1,11 @@
-//! Stopping a process without cutting off what is in flight.
+//! Graceful shutdown of entries and agents.
 
 use std::time::Duration;
 
 use grebedeck_kernel::{Clock, Kernel, log};
 
-/// How often the services are asked whether they are idle.
-const IDLE_CHECK: Duration = Duration::from_millis(20);
+/// Interval at which a stopping process checks whether its services are idle.
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Waits for a signal to stop.
 pub async fn wait_for_signal() -> anyhow::Result<()> {
@@ -18,7 +18,7 @@
     Ok(())
 }
 
-/// Stops all services and waits until they are idle; tells whether they were within the limit.
+/// Stops all services and waits until they are idle; returns whether they were within `limit`.
 pub async fn drain(kernel: &Kernel, limit: Duration) -> bool {
     let clock = Clock::default();
     log::info!("stopping", kv: { limit_ms = limit.as_millis() as u64 });
@@ -30,7 +30,7 @@
             return false;
         }
 
-        async_std::task::sleep(IDLE_CHECK).await;
+        async_std::task::sleep(IDLE_CHECK_INTERVAL).await;
     }
 
     log::info!("stopped");
