--- a/grebedeck/src/config/service.rs
+++ b/grebedeck/src/config/service.rs
@@ -1,4 +1,7 @@
-//! The configuration in force, as the other services see it.
+//! The configuration in force, for the other services of the process.
+//!
+//! Revisions arrive from the store and from peers; the newest one is put in force. The routes of
+//! recent revisions are kept to find the home of an idempotency key.
 
 use std::collections::VecDeque;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -11,21 +14,21 @@
 use grebedeck_routing::{AllowedSince, Key, find_home};
 use serde_json::{Value, json};
 
-/// The service's name.
+/// Name of the service.
 pub const NAME: &str = "config";
-/// How many revisions are kept to find the homes of keys.
-const KEPT_ROUTES: usize = 64;
+/// Number of revisions whose routes are kept to find the homes of keys.
+const MAX_ROUTES_HISTORY: usize = 64;
 
-/// Routes with the time from which they hold.
+/// Routes with the time at which their revision was accepted.
 type RoutesSince = (UnixMs, Arc<Routes>);
 
-/// The configuration in force.
+/// Configuration in force.
 pub struct ConfigService {
     clock: Clock,
     replica: Mutex<Replica>,
     routes: RwLock<Arc<Routes>>,
     history: Mutex<VecDeque<RoutesSince>>,
-    store_seen: Mutex<Option<Moment>>,
+    store_read_at: Mutex<Option<Moment>>,
     in_force_unix_ms: AtomicU64,
     changed: async_channel::Sender<Revision>,
     on_change: async_channel::Receiver<Revision>,
@@ -33,7 +36,7 @@
 }
 
 impl ConfigService {
-    /// Makes the service with no configuration.
+    /// Creates the service without a configuration.
     pub fn new(clock: Clock, metrics: &Metrics) -> Self {
         let (changed, on_change) = async_channel::bounded(1);
         let adoptions = metrics.counter(
@@ -47,7 +50,7 @@
             replica: Mutex::default(),
             routes: RwLock::default(),
             history: Mutex::default(),
-            store_seen: Mutex::default(),
+            store_read_at: Mutex::default(),
             in_force_unix_ms: AtomicU64::new(0),
             changed,
             on_change,
@@ -55,22 +58,22 @@
         }
     }
 
-    /// Gets the routes in force.
+    /// Routes in force.
     pub fn routes(&self) -> Arc<Routes> {
         self.routes.read().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Gets the revision in force; 0 where there is none yet.
+    /// Revision in force; 0 if there is none yet.
     pub fn revision(&self) -> Revision {
         self.lock().revision()
     }
 
-    /// Looks at the replica.
-    pub fn with_replica<T>(&self, look: impl FnOnce(&Replica) -> T) -> T {
-        look(&self.lock())
+    /// Reads from the replica of the configuration.
+    pub fn with_replica<T>(&self, read: impl FnOnce(&Replica) -> T) -> T {
+        read(&self.lock())
     }
 
-    /// Takes in what the store or a peer offers; a newer revision is in force when this returns.
+    /// Applies what the store or a peer offers; a newer revision is in force when this returns.
     pub fn apply(&self, offer: CatchUp) -> Adoption {
         let mut replica = self.lock();
         let adoption = replica.take_each(offer, |replica, change| {
@@ -92,12 +95,12 @@
         adoption
     }
 
-    /// Gets a signal for each new revision; signals that nobody waits for are merged.
+    /// Channel that receives a message for each new revision; unread messages are coalesced.
     pub fn on_change(&self) -> async_channel::Receiver<Revision> {
         self.on_change.clone()
     }
 
-    /// Gets the home of a key among the targets that are allowed.
+    /// Home of an idempotency key among the targets allowed for an organisation and service.
     pub fn home(
         &self,
         organisation: &str,
@@ -114,17 +117,17 @@
         find_home(lists, key, margin).cloned()
     }
 
-    /// Notes that the table service has just been read.
+    /// Records that the table service has just been read.
     pub fn record_store_answer(&self) {
         let now = self.clock.now();
-        *self.store_seen.lock().unwrap_or_else(PoisonError::into_inner) = Some(now);
+        *self.store_read_at.lock().unwrap_or_else(PoisonError::into_inner) = Some(now);
     }
 
-    /// Gets the time since the table service was last read, or `None` where it never was.
+    /// Time since the table service was last read; `None` if it never was.
     pub fn store_age(&self) -> Option<std::time::Duration> {
-        let seen = *self.store_seen.lock().unwrap_or_else(PoisonError::into_inner);
+        let read_at = *self.store_read_at.lock().unwrap_or_else(PoisonError::into_inner);
 
-        seen.map(|at| self.clock.now().saturating_sub(at))
+        read_at.map(|at| self.clock.now().saturating_sub(at))
     }
 
     fn put_in_force(&self, replica: &Replica, routes: Routes) {
@@ -138,7 +141,7 @@
         let mut history = self.history.lock().unwrap_or_else(PoisonError::into_inner);
         history.push_back((replica.accepted_unix_ms(), routes));
 
-        if history.len() > KEPT_ROUTES {
+        if history.len() > MAX_ROUTES_HISTORY {
             history.pop_front();
         }
 
@@ -146,7 +149,7 @@
     }
 
     fn lock(&self) -> std::sync::MutexGuard<'_, Replica> {
-        // A broken invariant stops the process, so a lock that was poisoned by one is never used.
+        // A panic aborts the process, so a poisoned lock is never observed.
         self.replica.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/grebedeck/src/config/spread.rs
+++ b/grebedeck/src/config/spread.rs
@@ -1,8 +1,8 @@
-//! Keeping the configuration in step with the store and with peers.
+//! Synchronization of the configuration with the store and with peers.
 //!
-//! Each process has a few fixed peers, most of them in its own hall. It tells them its revision
-//! every heartbeat and at once when it has a new one; whoever is behind is brought up. The store's
-//! head is read rarely by each process, so that the whole fleet together reads it at a fixed rate.
+//! Each process selects a few peers, most of them in its own hall. It sends them its revision with
+//! each heartbeat, and immediately when it has a new one; the side that is behind is updated. Each
+//! process reads the store's head rarely, so that the whole fleet reads it at a fixed rate.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -23,31 +23,31 @@
 use crate::random::ProcessRandom;
 use crate::settings::{CommonSettings, millis};
 
-/// Shortest time between two reads of the store by one process.
-const MIN_STORE_PERIOD: Duration = Duration::from_millis(500);
-/// Longest wait between tries while the store is away.
-const MAX_STORE_WAIT: Duration = Duration::from_secs(30);
-/// Shortest time between two reads of the list of instances.
-const MIN_LIST_PERIOD: Duration = Duration::from_secs(2);
+/// Minimum interval between two reads of the store by one process.
+const MIN_STORE_INTERVAL: Duration = Duration::from_millis(500);
+/// Maximum backoff while the store is unavailable.
+const MAX_STORE_BACKOFF: Duration = Duration::from_secs(30);
+/// Minimum interval between two reads of the list of instances.
+const MIN_LIST_INTERVAL: Duration = Duration::from_secs(2);
 
-/// The instances that the platform lists, as this process last saw them.
+/// Instances that the platform lists, as this process last read them.
 #[derive(Default)]
 pub struct Members {
     instances: Mutex<Vec<Instance>>,
 }
 
 impl Members {
-    /// Gets the instances.
+    /// All instances.
     pub fn all(&self) -> Vec<Instance> {
         self.instances.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Gets the number of instances.
+    /// Number of instances.
     pub fn len(&self) -> usize {
         self.instances.lock().unwrap_or_else(PoisonError::into_inner).len()
     }
 
-    /// Tells whether no instance is known.
+    /// Whether no instance is known.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
@@ -66,8 +66,8 @@
     }
 }
 
-/// Gets the peers that a process exchanges its revision with: most from its own hall, and at least
-/// one from elsewhere where there is one.
+/// Selects the peers with which a process exchanges its revision: most of them from its own hall,
+/// and at least one from another hall if there is one.
 pub fn select_peers(
     name: &str,
     hall: &str,
@@ -78,23 +78,23 @@
     let mut others: Vec<&Instance> = instances.iter().filter(|i| i.name != name).collect();
     others.sort_by_key(|i| std::cmp::Reverse(rendezvous(key, &i.name)));
 
-    let (own, far): (Vec<_>, Vec<_>) = others.into_iter().partition(|i| i.hall == hall);
-    let from_far = far.len().min((count / 2).max(count.saturating_sub(own.len())));
-    let from_own = count - from_far;
+    let (own, remote): (Vec<_>, Vec<_>) = others.into_iter().partition(|i| i.hall == hall);
+    let from_remote = remote.len().min((count / 2).max(count.saturating_sub(own.len())));
+    let from_own = count - from_remote;
 
     own.into_iter()
         .take(from_own)
-        .chain(far.into_iter().take(from_far))
+        .chain(remote.into_iter().take(from_remote))
         .map(|i| i.peer_address)
         .collect()
 }
 
-/// Draws a wait around the given one, so that processes do not act in step.
-fn spread_out(wait: Duration) -> Duration {
+/// Adds jitter to a wait, so that processes do not act in step.
+fn jittered(wait: Duration) -> Duration {
     wait.mul_f64(0.5 + ProcessRandom::default().unit())
 }
 
-/// What the loops of this module work with.
+/// Synchronization tasks of a process.
 #[derive(Clone)]
 pub struct ConfigSync {
     settings: CommonSettings,
@@ -104,7 +104,7 @@
 }
 
 impl ConfigSync {
-    /// Makes the spreading of a process.
+    /// Creates the synchronization tasks of a process, which do not run yet.
     pub fn new(
         settings: CommonSettings,
         config: Arc<ConfigService>,
@@ -114,20 +114,20 @@
         ConfigSync { settings, config, members, directory }
     }
 
-    /// Reads the store's head now and then until the task is dropped.
+    /// Reads the store's head periodically until the task is dropped.
     pub async fn follow_store<T: Table>(self, store: ConfigStore<T>) {
         let mut failures = 0u32;
 
         loop {
             match store.catch_up().await {
                 Ok(()) if failures > 0 => {
-                    log::info!("store is back", kv: { failures });
+                    log::info!("store available again", kv: { failures });
                     failures = 0;
                 }
                 Ok(()) => {}
                 Err(error) => {
                     if failures == 0 {
-                        log::warn!("store is away", kv: { error = error.to_string() });
+                        log::warn!("store unavailable", kv: { error = error.to_string() });
                     }
 
                     failures = failures.saturating_add(1);
@@ -138,37 +138,38 @@
         }
     }
 
-    /// Gets the wait until the next read, spread so that a returning store is not stormed.
+    /// Wait until the next read: exponential backoff with jitter, so that the fleet does not
+    /// overload a store that has just recovered.
     fn store_wait(&self, failures: u32) -> Duration {
         let fleet = self.members.len().max(1) as f64;
-        let period = Duration::from_secs_f64(fleet / self.settings.fleet_reads_per_s);
-        let period = period.max(MIN_STORE_PERIOD);
-        let backed_off = period * (1 << failures.min(6));
-        let wait = backed_off.min(MAX_STORE_WAIT.max(period));
+        let interval = Duration::from_secs_f64(fleet / self.settings.fleet_reads_per_s);
+        let interval = interval.max(MIN_STORE_INTERVAL);
+        let backoff = interval * (1 << failures.min(6));
+        let wait = backoff.min(MAX_STORE_BACKOFF.max(interval));
 
-        spread_out(wait)
+        jittered(wait)
     }
 
-    /// Reads the list of instances now and then until the task is dropped.
+    /// Reads the list of instances periodically until the task is dropped.
     pub async fn follow_instances<L: InstanceList>(self, list: L) {
         loop {
-            // While the list cannot be read, the last one is the best there is.
+            // While the list cannot be read, the last known one stays in use.
             if let Ok(instances) = list.read().await {
                 self.members.set(instances);
-                self.forget_gone();
+                self.remove_unlisted_links();
             }
 
             let fleet = self.members.len().max(1) as f64;
-            let period = Duration::from_secs_f64(fleet / self.settings.fleet_reads_per_s);
-            let wait = period.max(MIN_LIST_PERIOD);
-            let first = if self.members.is_empty() { MIN_STORE_PERIOD } else { wait };
+            let interval = Duration::from_secs_f64(fleet / self.settings.fleet_reads_per_s);
+            let interval = interval.max(MIN_LIST_INTERVAL);
+            let wait = if self.members.is_empty() { MIN_STORE_INTERVAL } else { interval };
 
-            async_std::task::sleep(spread_out(first)).await;
+            async_std::task::sleep(jittered(wait)).await;
         }
     }
 
-    /// Drops links to processes that neither the list nor the configuration names any more.
-    fn forget_gone(&self) {
+    /// Removes links to processes that are neither in the list nor in the configuration.
+    fn remove_unlisted_links(&self) {
         let listed = self.members.all();
         let routes = self.config.routes();
         let targets = routes.targets().values().map(|r| r.agent_address);
@@ -187,13 +188,13 @@
         let changed = self.config.on_change();
 
         loop {
-            // A peer that does not answer must not hold up the others, nor the next round.
+            // A peer that does not answer must not delay the others or the next round.
             for address in self.peers() {
-                let spread = self.clone();
-                async_std::task::spawn(async move { spread.exchange(address).await });
+                let sync = self.clone();
+                async_std::task::spawn(async move { sync.exchange(address).await });
             }
 
-            let wait = spread_out(millis(self.settings.heartbeat_ms));
+            let wait = jittered(millis(self.settings.heartbeat_ms));
 
             futures::select! {
                 _ = changed.recv().fuse() => {}
@@ -202,16 +203,16 @@
         }
     }
 
-    /// Gets the peers to exchange revisions with.
+    /// Peers to exchange revisions with; the seed peers while no other instance is known.
     fn peers(&self) -> Vec<SocketAddr> {
         let settings = &self.settings;
         let instances = self.members.all();
-        let chosen = select_peers(&settings.name, &settings.hall, settings.peers, &instances);
+        let selected = select_peers(&settings.name, &settings.hall, settings.peers, &instances);
 
-        if chosen.is_empty() { settings.seed_peers.clone() } else { chosen }
+        if selected.is_empty() { settings.seed_peers.clone() } else { selected }
     }
 
-    /// Exchanges revisions with one peer; whoever is behind is brought up.
+    /// Exchanges revisions with one peer and updates the side that is behind.
     async fn exchange(&self, address: SocketAddr) {
         let revision = self.config.revision();
         let answer = self.directory.control(address, &Control::Heartbeat { revision }).await;
@@ -224,9 +225,9 @@
             self.config.apply(catch_up);
         }
 
-        let behind = self.config.with_replica(|r| r.catch_up(theirs));
+        let peer_catch_up = self.config.with_replica(|r| r.catch_up(theirs));
 
-        if let Some(catch_up) = behind {
+        if let Some(catch_up) = peer_catch_up {
             let _ = self.directory.control(address, &Control::CatchUp(catch_up)).await;
         }
     }
--- a/grebedeck/src/config/store.rs
+++ b/grebedeck/src/config/store.rs
@@ -1,8 +1,8 @@
-//! The configuration in the platform's table service.
+//! Storage of the configuration in the platform's table service.
 //!
-//! Keys: `config/head` holds the newest revision, `config/log/N` the entry that made revision N,
-//! `config/change/ID` the revision that a change made, and `config/snapshot` the document at some
-//! revision, so that a process that starts need not read the whole log.
+//! Keys: `config/head` holds the newest revision, `config/log/N` the log entry of revision N,
+//! `config/change/ID` the revision at which a change was accepted, and `config/snapshot` the
+//! document at some revision, so that a new process does not need to read the whole log.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -23,21 +23,21 @@
 
 const HEAD_KEY: &str = "config/head";
 const SNAPSHOT_KEY: &str = "config/snapshot";
-/// Most log entries that are read in one call.
-const ENTRIES_PER_READ: u64 = 64;
-/// A snapshot is written every so many revisions.
-const SNAPSHOT_EVERY: u64 = 64;
-/// Wait before a lost answer is read back.
-const READ_BACK_WAIT: Duration = Duration::from_millis(200);
-/// How often catching up with the store is tried before the outcome is left unknown.
-const MAX_CATCH_TRIES: u32 = 5;
+/// Maximum number of log entries read in one call.
+const MAX_ENTRIES_PER_READ: u64 = 64;
+/// Number of revisions between two snapshots.
+const REVISIONS_PER_SNAPSHOT: u64 = 64;
+/// Delay before a retry, and before a write whose answer was lost is checked by reading.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
+/// Maximum number of retries of catching up with the store before the outcome counts as unknown.
+const MAX_CATCH_UP_RETRIES: u32 = 5;
 
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
 struct Head {
     revision: Revision,
 }
 
-/// Reads and writes the configuration in the table service.
+/// Access to the configuration in the table service.
 #[derive(Clone)]
 pub struct ConfigStore<T> {
     table: T,
@@ -45,12 +45,12 @@
 }
 
 impl<T: Table> ConfigStore<T> {
-    /// Makes a store for a process's configuration service.
+    /// Creates the access for a process's configuration service.
     pub fn new(table: T, service: Arc<ConfigService>) -> Self {
         ConfigStore { table, service }
     }
 
-    /// Reads what is newer than the configuration in force, and puts it in force.
+    /// Reads all revisions newer than the one in force and puts them in force.
     pub async fn catch_up(&self) -> Result<()> {
         let (head, _, _) = self.read_head(None).await?;
 
@@ -60,19 +60,19 @@
     async fn catch_up_to(&self, head: Revision) -> Result<()> {
         let mut own = self.service.revision();
 
-        if head > own + ENTRIES_PER_READ {
-            self.take_snapshot().await?;
+        if head > own + MAX_ENTRIES_PER_READ {
+            self.load_snapshot().await?;
             own = self.service.revision();
         }
 
         while own < head {
-            let until = head.min(own + ENTRIES_PER_READ);
+            let until = head.min(own + MAX_ENTRIES_PER_READ);
             let entries = self.read_entries(own + 1, until).await?;
 
             match self.service.apply(CatchUp::Entries(entries)) {
-                // A stale offer means that a peer was faster.
+                // Stale entries mean that a peer has delivered them in the meantime.
                 Adoption::Adopted | Adoption::Stale => {}
-                adoption => return protocol_error(format!("the store's log: {adoption:?}")),
+                adoption => return protocol_error(format!("invalid store log: {adoption:?}")),
             }
 
             own = self.service.revision();
@@ -81,7 +81,7 @@
         Ok(())
     }
 
-    async fn take_snapshot(&self) -> Result<()> {
+    async fn load_snapshot(&self) -> Result<()> {
         let keys = [SNAPSHOT_KEY.to_string()];
         let mut values = self.table.read(&keys).await?;
         let value = values.remove(SNAPSHOT_KEY).unwrap_or_default().value;
@@ -103,7 +103,7 @@
             .collect::<Result<Vec<_>>>()
     }
 
-    /// Reads the head, its version, and the revision that a change is stored under.
+    /// Reads the head, its version, and the revision at which change `id` was accepted, if it was.
     async fn read_head(&self, id: Option<&str>) -> Result<(Revision, u64, Option<Revision>)> {
         let mut keys = vec![HEAD_KEY.to_string()];
         keys.extend(id.map(change_key));
@@ -112,35 +112,35 @@
         self.service.record_store_answer();
 
         let head = values.remove(HEAD_KEY).unwrap_or_default();
-        let known = id.and_then(|id| values.remove(&change_key(id))).unwrap_or_default();
+        let accepted = id.and_then(|id| values.remove(&change_key(id))).unwrap_or_default();
 
-        Ok((parse_head(&head)?.revision, head.version, known.value.as_u64()))
+        Ok((parse_head(&head)?.revision, head.version, accepted.value.as_u64()))
     }
 
-    /// Takes an operator's change to its end.
+    /// Accepts or refuses an operator's change; returns once the outcome is final or unknown.
     pub async fn accept(&self, change: Change) -> AcceptResult {
         let id = change.id.clone();
         let (mut acceptor, mut order) = Acceptor::new(change);
         let mut head_version = 0;
-        let mut tries = 0;
+        let mut retries = 0;
 
         loop {
             order = match order {
                 AcceptOrder::Finish(result) => {
-                    self.settled(&id, &result).await;
+                    self.finish_change(&id, &result).await;
                     return result;
                 }
-                AcceptOrder::Catch => match self.catch(&id, &mut acceptor).await {
+                AcceptOrder::Catch => match self.read_for(&id, &mut acceptor).await {
                     Ok((version, next)) => {
                         head_version = version;
                         next
                     }
-                    Err(_) if tries >= MAX_CATCH_TRIES => {
+                    Err(_) if retries >= MAX_CATCH_UP_RETRIES => {
                         AcceptOrder::Finish(acceptor.unreachable())
                     }
                     Err(_) => {
-                        tries += 1;
-                        async_std::task::sleep(READ_BACK_WAIT).await;
+                        retries += 1;
+                        async_std::task::sleep(RETRY_DELAY).await;
                         AcceptOrder::Catch
                     }
                 },
@@ -148,22 +148,24 @@
                     acceptor.answered(self.write(&id, &entry, head_version).await)
                 }
                 AcceptOrder::ReadBack => {
-                    async_std::task::sleep(READ_BACK_WAIT).await;
+                    async_std::task::sleep(RETRY_DELAY).await;
                     acceptor.answered(self.read_back(&id).await)
                 }
             };
         }
     }
 
-    async fn catch(&self, id: &str, acceptor: &mut Acceptor) -> Result<(u64, AcceptOrder)> {
-        let (head, version, known) = self.read_head(Some(id)).await?;
+    /// Catches up with the store for a change; returns the head's version and the next step.
+    async fn read_for(&self, id: &str, acceptor: &mut Acceptor) -> Result<(u64, AcceptOrder)> {
+        let (head, version, accepted) = self.read_head(Some(id)).await?;
         self.catch_up_to(head).await?;
 
-        // A peer may have been faster than the read; the head's condition covers that.
+        // A peer may have delivered revisions newer than this head. The write then fails with a
+        // conflict, because it requires the head's version.
         let document = self.service.with_replica(|r| r.document().clone());
         let revision = self.service.revision().max(head);
 
-        Ok((version, acceptor.at_head(revision, &document, known, unix_ms())))
+        Ok((version, acceptor.at_head(revision, &document, accepted, unix_ms())))
     }
 
     async fn write(&self, id: &str, entry: &LogEntry, head_version: u64) -> StoreAnswer {
@@ -194,39 +196,39 @@
         }
     }
 
-    /// Logs the end of a change, and now and then writes a snapshot behind it.
-    async fn settled(&self, id: &str, result: &AcceptResult) {
+    /// Logs the outcome of a change, and periodically writes a snapshot after it.
+    async fn finish_change(&self, id: &str, result: &AcceptResult) {
         match result {
             AcceptResult::Accepted(revision) => {
                 log::info!("change accepted", kv: { id, revision = *revision });
 
-                // Where the change was found by reading back, it is not in force here yet.
+                // A change that was found by reading back is not in force here yet.
                 if self.service.revision() < *revision {
                     let _ = self.catch_up().await;
                 }
 
-                if revision % SNAPSHOT_EVERY == 0 {
+                if revision % REVISIONS_PER_SNAPSHOT == 0 {
                     self.write_snapshot().await;
                 }
             }
             AcceptResult::Refused(faults) => {
                 log::info!("change refused", kv: { id, faults = faults.0.len() });
             }
-            AcceptResult::Unknown => log::warn!("change in doubt", kv: { id }),
+            AcceptResult::Unknown => log::warn!("outcome of change unknown", kv: { id }),
         }
     }
 
     async fn write_snapshot(&self) {
         let snapshot = self.service.with_replica(|r| r.snapshot());
         let writes = BTreeMap::from([(SNAPSHOT_KEY.to_string(), to_value(&snapshot))]);
-        // Without it, processes that start read more of the log; nothing else depends on it.
+        // A failed write is harmless: new processes read more of the log.
         let _ = self.table.write(&Transaction { writes, ..Transaction::default() }).await;
     }
 
-    /// Gets the last accepted changes, newest first.
+    /// Returns up to `count` of the last accepted changes, newest first.
     pub async fn history(&self, count: u64) -> Result<Vec<LogEntry>> {
         let (head, _, _) = self.read_head(None).await?;
-        let from = head.saturating_sub(count.min(ENTRIES_PER_READ)) + 1;
+        let from = head.saturating_sub(count.min(MAX_ENTRIES_PER_READ)) + 1;
         let mut entries = self.read_entries(from, head).await?;
         entries.reverse();
 
@@ -249,7 +251,7 @@
 fn parse<T: for<'a> Deserialize<'a>>(value: Value) -> Result<T> {
     match serde_json::from_value(value) {
         Ok(parsed) => Ok(parsed),
-        Err(error) => protocol_error(format!("the store's configuration: {error}")),
+        Err(error) => protocol_error(format!("unreadable configuration in the store: {error}")),
     }
 }
 
--- a/grebedeck/tests/settings.rs
+++ b/grebedeck/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings are checked whole, and every fault names its field.
+//! Checks of settings files: all faults are reported at once, and each names its field.
 
 use std::time::Duration;
 
@@ -13,14 +13,14 @@
 const CHANGE: &str = include_str!("../../docs/examples/let-bronze-in.json");
 
 #[test]
-fn the_examples_in_the_docs_are_valid() {
+fn documented_examples_are_valid() {
     assert!(parse::<EntrySettings>(ENTRY).is_ok());
     assert!(parse::<AgentSettings>(AGENT).is_ok());
     assert!(serde_json::from_str::<Change>(CHANGE).is_ok());
 }
 
 #[test]
-fn all_faults_are_listed_in_one_go() {
+fn all_faults_are_reported_at_once() {
     let text = ENTRY
         .replace("\"entry-1\"", "\"not a name\"")
         .replace("\"hall-a\"", "\"\"")
@@ -37,17 +37,17 @@
 }
 
 #[test]
-fn unknown_and_misplaced_fields_are_refused_with_their_place() {
+fn unknown_fields_and_host_names_are_refused() {
     let text = AGENT.replace("\"max_in_flight\"", "\"max_inflight\"");
     let faults = parse::<AgentSettings>(&text).unwrap_err().to_string();
     assert!(faults.contains("max_inflight") && faults.contains("line"), "{faults}");
 
     let text = AGENT.replace("\"127.0.0.1:9000\"", "\"localhost:9000\"");
-    assert!(parse::<AgentSettings>(&text).is_err(), "addresses are IP numbers");
+    assert!(parse::<AgentSettings>(&text).is_err(), "host names are not accepted as addresses");
 }
 
 #[test]
-fn an_agent_needs_room_for_what_its_target_runs() {
+fn max_in_flight_of_an_agent_covers_all_slots_of_its_target() {
     let text = AGENT.replace("\"max_in_flight\": 64", "\"places\": 64, \"max_in_flight\": 8");
     let faults = parse::<AgentSettings>(&text).unwrap_err();
 
@@ -69,7 +69,7 @@
 }"#;
 
 #[test]
-fn mechanisms_are_left_out_by_name() {
+fn mechanisms_are_disabled_by_name() {
     let settings = parse::<GatewaySettings>(GATEWAY).expect("valid settings");
     assert!(!settings.uses(Mechanism::SlowExclusion) && settings.uses(Mechanism::Pace));
     assert_eq!(settings.chooser_options().slow_threshold, f32::INFINITY);
@@ -79,10 +79,10 @@
     assert!(faults.contains("everything"), "{faults}");
 }
 
-/// The pauses between reads of the list were 0.4 s whatever time targets that leave go on; with 53 gateways those
-/// reads were most of what all calls to the store cost.
+/// A fixed pause of 0.4 s between reads of the target list ignored how long leaving targets keep
+/// running. With 53 gateways those reads made up most of the cost of all calls to the store.
 #[test]
-fn the_store_is_asked_as_often_as_the_platforms_times_need() {
+fn store_poll_intervals_follow_the_platforms_time_limits() {
     let usual = parse::<GatewaySettings>(GATEWAY).expect("valid settings");
     assert_eq!(usual.store_wait(), Duration::from_secs(2));
     assert_eq!(usual.targets_poll_interval(), Duration::from_millis(500));
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn what_is_kept_leaves_memory_to_the_process_itself() {
+fn buffers_leave_memory_for_the_process_itself() {
     let usual = parse::<GatewaySettings>(GATEWAY).expect("valid settings");
     assert_eq!(usual.memory_bytes(usual.kept.bodies), 25 << 20);
     assert_eq!(usual.memory_bytes(usual.kept.answers), 25 << 20);
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn figures_of_balance_and_load_are_checked() {
+fn balance_and_load_values_are_checked() {
     let fields = |faults: grebedeck_core::Faults| -> Vec<String> {
         faults.0.into_iter().map(|fault| fault.field).collect()
     };
