--- a/grebedeck/src/config.rs
+++ b/grebedeck/src/config.rs
@@ -5,7 +5,7 @@
 //! and passed on to the peers, whichever way it arrives.
 
 pub mod service;
-pub mod spread;
 pub mod store;
+pub mod sync;
 
 pub use service::{ConfigService, NAME};
--- a/grebedeck/src/entry/suspects.rs
+++ b/grebedeck/src/entry/suspects.rs
@@ -23,7 +23,7 @@
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
 
-use crate::config::spread::Members;
+use crate::config::sync::Members;
 use crate::directory::Directory;
 use crate::message::{Control, ControlAnswer, SuspectMessage};
 use crate::random::ProcessRandom;
--- a/grebedeck/src/operator.rs
+++ b/grebedeck/src/operator.rs
@@ -14,8 +14,8 @@
 use tide::{Body, Request, Response, StatusCode};
 
 use crate::config::ConfigService;
-use crate::config::spread::Members;
 use crate::config::store::ConfigStore;
+use crate::config::sync::Members;
 use crate::directory::Directory;
 use crate::message::{Control, ControlAnswer};
 
--- a/grebedeck/src/process.rs
+++ b/grebedeck/src/process.rs
@@ -13,8 +13,8 @@
 
 use crate::agent::AgentService;
 use crate::agent::group::GroupService;
-use crate::config::spread::{ConfigSync, Members};
 use crate::config::store::ConfigStore;
+use crate::config::sync::{ConfigSync, Members};
 use crate::config::{self, ConfigService};
 use crate::directory::{self, Directory};
 use crate::entry::suspects::Suspects;
--- a/grebedeck/tests/peers.rs
+++ b/grebedeck/tests/peers.rs
@@ -3,7 +3,7 @@
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
 
-use grebedeck::config::spread::select_peers;
+use grebedeck::config::sync::select_peers;
 use grebedeck_net::platform::{Instance, InstanceState, Role};
 
 const PEERS: usize = 4;
