--- a/grebedeck/src/config/store.rs
+++ b/grebedeck/src/config/store.rs
@@ -37,7 +37,7 @@
     revision: Revision,
 }
 
-/// Access to the configuration in the table service.
+/// Configuration in the table service.
 #[derive(Clone)]
 pub struct ConfigStore<T> {
     table: T,
@@ -45,7 +45,7 @@
 }
 
 impl<T: Table> ConfigStore<T> {
-    /// Creates the access for a process's configuration service.
+    /// Creates the store that feeds a process's configuration service from `table`.
     pub fn new(table: T, service: Arc<ConfigService>) -> Self {
         ConfigStore { table, service }
     }
--- a/grebedeck/src/config/sync.rs
+++ b/grebedeck/src/config/sync.rs
@@ -104,7 +104,7 @@
 }
 
 impl ConfigSync {
-    /// Creates the synchronization tasks of a process, which do not run yet.
+    /// Creates the synchronization without starting its tasks.
     pub fn new(
         settings: CommonSettings,
         config: Arc<ConfigService>,
--- a/grebedeck/src/gateway/attempt.rs
+++ b/grebedeck/src/gateway/attempt.rs
@@ -12,7 +12,7 @@
 use grebedeck_http::{BodyDecoder, Connection, Decoded, HttpError, ResponseHead, response_framing};
 
 use super::opened::{Opened, Sent};
-use super::options::{CONNECT_LIMIT, MAX_ANSWER_HEAD_BYTES, SOCKET_BUFFER_BYTES};
+use super::options::{CONNECT_TIMEOUT, MAX_ANSWER_HEAD_BYTES, SOCKET_BUFFER_BYTES};
 use super::place::Place;
 use super::refusing::refusal_cause;
 use super::request::RoutedRequest;
@@ -171,7 +171,7 @@
     let mut connection = match gateway.pool.take(target, gateway.now()) {
         Some(connection) => connection,
         None => {
-            let new = Connection::connect(target.address, CONNECT_LIMIT.min(left)).await?;
+            let new = Connection::connect(target.address, CONNECT_TIMEOUT.min(left)).await?;
             new.limit_unread(SOCKET_BUFFER_BYTES)?;
             new
         }
--- a/grebedeck/src/gateway/counters.rs
+++ b/grebedeck/src/gateway/counters.rs
@@ -72,7 +72,7 @@
     pub starts: Counter,
     /// Requests sent to cold targets, and selections that skipped some, by kind.
     pub cold: Counter,
-    /// Refusals of targets and their notices of a pause or shutdown, by effect.
+    /// Refusals, requested delays and announced shutdowns of targets, by effect.
     pub refusing: Counter,
     /// Rate limits announced by targets, and requests to such targets, by kind.
     pub limits: Counter,
--- a/grebedeck/src/gateway/options.rs
+++ b/grebedeck/src/gateway/options.rs
@@ -18,7 +18,7 @@
 pub const HOUSEKEEPING_PERIOD: Duration = Duration::from_millis(250);
 /// Timeout of connecting to a target: a few round trips between halls, and less than the second
 /// after which a lost SYN is retransmitted.
-pub const CONNECT_LIMIT: Duration = Duration::from_millis(300);
+pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 /// Maximum length of the head of a target's answer.
 pub const MAX_ANSWER_HEAD_BYTES: usize = 64 << 10;
 /// Maximum length of an answer that is read completely before it is sent to the caller.
@@ -109,8 +109,8 @@
 /// How much later than requested the store may answer before it counts as unavailable: more than an
 /// answer takes when the store is slow.
 const STORE_GRACE: Duration = Duration::from_millis(600);
-/// Minimum remaining time of a request for sending it to a target.
-pub const MIN_ATTEMPT: Duration = Duration::from_millis(5);
+/// Remaining time below which a request is no longer sent to a target.
+pub const MIN_ATTEMPT_TIME: Duration = Duration::from_millis(5);
 
 /// Maximum fraction of the memory for buffered bodies and answers. The process itself takes some
 /// 10 MB when idle, of 112 MB on the smallest machine.
--- a/grebedeck/src/gateway/service.rs
+++ b/grebedeck/src/gateway/service.rs
@@ -26,7 +26,7 @@
 use super::halls::OperatorView;
 use super::limits::LimitState;
 use super::mechanism::Mechanism;
-use super::options::{GatewaySettings, MIN_ATTEMPT};
+use super::options::{GatewaySettings, MIN_ATTEMPT_TIME};
 use super::pool::Pool;
 use super::quota::QuotaState;
 use super::refusing::REFUSING_LINES_PER_S;
@@ -87,7 +87,7 @@
     wait_limits: RefCell<HashMap<ServiceName, WaitLimit>>,
     /// Limits on requests to cold targets, and this gateway's share in them.
     pub(super) cold: RefCell<ColdLimiter>,
-    /// Targets that refuse requests or have asked for a pause.
+    /// Targets that refuse requests or have requested a delay.
     pub(super) refusals: RefCell<Refusals>,
     /// Budget of log lines on targets that refuse.
     pub(super) refusing_lines: RefCell<LineBudget>,
@@ -322,7 +322,7 @@
             Some("may have run")
         } else if tried.targets().len() >= rule.max_targets as usize {
             Some("sent often enough")
-        } else if request.deadline <= now + MIN_ATTEMPT {
+        } else if request.deadline <= now + MIN_ATTEMPT_TIME {
             Some("no time left")
         } else if !self.try_acquire_retry(&request.service) {
             Some("no budget left")
--- a/grebedeck/src/gateway/suspects.rs
+++ b/grebedeck/src/gateway/suspects.rs
@@ -19,7 +19,7 @@
 use grebedeck_routing::{Clearance, Fingerprint, Report, TargetStart};
 
 use super::handout;
-use super::options::CONNECT_LIMIT;
+use super::options::CONNECT_TIMEOUT;
 use super::place::NoPlace;
 use super::request::RoutedRequest;
 use super::service::Gateway;
@@ -284,7 +284,7 @@
 
 /// Finds out whether a target on which an attempt broke has crashed.
 async fn look_at(gateway: Rc<Gateway>, target: Arc<TargetEntry>, start: TargetStart) {
-    let (finding, connection) = liveness::probe(target.address, CONNECT_LIMIT, STAYS_OPEN).await;
+    let (finding, connection) = liveness::probe(target.address, CONNECT_TIMEOUT, STAYS_OPEN).await;
 
     if let Some(connection) = connection {
         // It takes the place of the one that broke.
@@ -306,7 +306,7 @@
 
     for _ in 0..NEIGHBOURS.min(others.len()) {
         let target = others.swap_remove(ProcessRandom::default().below(others.len()));
-        let connected = Connection::connect(target.address, CONNECT_LIMIT).await;
+        let connected = Connection::connect(target.address, CONNECT_TIMEOUT).await;
 
         if connected.is_err_and(|error| error.is_refused()) {
             let start = TargetStart::listed(&target.id, target.born_ms);
--- a/grebedeck/src/settings.rs
+++ b/grebedeck/src/settings.rs
@@ -9,7 +9,7 @@
 use grebedeck_net::platform::{Instance, InstanceState, Role};
 use serde::{Deserialize, Serialize};
 
-/// Settings of entries and agents alike.
+/// Settings that entries and agents share.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CommonSettings {
@@ -49,7 +49,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EntrySettings {
-    /// Settings of every role.
+    /// Settings that entries and agents share.
     pub common: CommonSettings,
     /// Address for callers' requests.
     pub caller_address: SocketAddr,
@@ -86,7 +86,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct AgentSettings {
-    /// Settings of every role.
+    /// Settings that entries and agents share.
     pub common: CommonSettings,
     /// Address of the target.
     pub target_address: SocketAddr,
