--- a/grebedeck/src/gateway/assignment.rs
+++ b/grebedeck/src/gateway/assignment.rs
@@ -13,7 +13,7 @@
 use grebedeck_core::{Moment, ServiceName};
 
 use super::hold;
-use super::options::{LOOK_PAUSE, MIN_WAIT, TRIAL_PAUSE};
+use super::options::{MIN_SLOT_WAIT, PROBE_INTERVAL, SLOT_POLL_PERIOD};
 use super::place::{self, NoPlace, Place};
 use super::service::Gateway;
 use super::waiting::Obstacle;
@@ -23,12 +23,12 @@
     loop {
         // Listening begins before the search, so that no place that becomes free meanwhile is
         // missed.
-        let freed = gateway.freed.listen();
+        let slot_freed = gateway.slot_freed.listen();
         let Some(pause) = assign_places(&gateway, &service) else {
             gateway.waiting.with(&service, |line| line.is_served = false);
             return;
         };
-        let _ = timeout(pause, freed).await;
+        let _ = timeout(pause, slot_freed).await;
     }
 }
 
@@ -43,7 +43,7 @@
             Ok(place) => {
                 let next = gateway.waiting.with(service, |line| line.queue.pop(now)).flatten();
                 let (waiter, seeker) = next?;
-                gateway.counters.in_line.left(waiter.urgency);
+                gateway.counters.waiting.decrement(waiter.urgency);
                 // If the request has just left, dropping the place gives it back.
                 drop(seeker.answer.send(Ok(place)));
             }
@@ -52,7 +52,7 @@
                 let next = gateway.waiting.with(service, |line| line.queue.next_expiry());
                 let until_due = next.flatten()?.saturating_sub(now);
 
-                return Some(search_interval(reason).min(until_due).max(MIN_WAIT));
+                return Some(search_interval(reason).min(until_due).max(MIN_SLOT_WAIT));
             }
         }
     }
@@ -61,13 +61,13 @@
 /// Returns the time until the next search if no notification comes before.
 fn search_interval(reason: NoPlace) -> Duration {
     match reason {
-        NoPlace::Paced(left) => left.min(TRIAL_PAUSE),
+        NoPlace::Paced(decrement) => decrement.min(PROBE_INTERVAL),
         NoPlace::Out(_)
         | NoPlace::NoTargets
         | NoPlace::Evacuated
         | NoPlace::Resting(_)
-        | NoPlace::Quarantined(_) => TRIAL_PAUSE,
-        NoPlace::Full | NoPlace::Behind(_) | NoPlace::Limited(_) => LOOK_PAUSE,
+        | NoPlace::Quarantined(_) => PROBE_INTERVAL,
+        NoPlace::Full | NoPlace::Behind(_) | NoPlace::Limited(_) => SLOT_POLL_PERIOD,
     }
 }
 
@@ -124,7 +124,7 @@
     let removed = gateway.waiting.with(service, |line| line.queue.remove(ticket, now)).flatten();
 
     if let Some((waiter, seeker)) = removed {
-        gateway.counters.in_line.left(waiter.urgency);
+        gateway.counters.waiting.decrement(waiter.urgency);
         // A request that has just left needs no answer.
         drop(seeker.answer.send(answer));
     }
--- a/grebedeck/src/gateway/datagrams.rs
+++ b/grebedeck/src/gateway/datagrams.rs
@@ -11,7 +11,7 @@
 use futures::FutureExt;
 
 use super::gossip;
-use super::options::{FIRST_WATCH_PERIOD, WATCH_PERIOD};
+use super::options::{FIRST_SUBSCRIBE_PERIOD, SUBSCRIBE_PERIOD};
 use super::quota;
 use super::service::Gateway;
 use crate::rank::message::{Body, Datagram, DatagramReader, MAX_DATAGRAM_BYTES};
@@ -66,7 +66,8 @@
 pub async fn subscribe(gateway: Rc<Gateway>, socket: Rc<UdpSocket>) {
     loop {
         send_subscriptions(&gateway, &socket).await;
-        let period = if gateway.receives_rank_loads() { WATCH_PERIOD } else { FIRST_WATCH_PERIOD };
+        let period =
+            if gateway.receives_rank_loads() { SUBSCRIBE_PERIOD } else { FIRST_SUBSCRIBE_PERIOD };
         async_std::task::sleep(period).await;
     }
 }
--- a/grebedeck/src/gateway/gossip.rs
+++ b/grebedeck/src/gateway/gossip.rs
@@ -49,7 +49,7 @@
     let mut digest_at = gateway.now();
 
     loop {
-        let updated = gateway.suspects_news.listen();
+        let updated = gateway.suspect_updates.listen();
         let report = gateway.quarantine.borrow_mut().take_updates();
         send_update(&gateway, &socket, report).await;
         let now = gateway.now();
@@ -143,7 +143,7 @@
     let mut backoff = MIN_BACKOFF;
 
     loop {
-        let updated = gateway.suspects_news.listen();
+        let updated = gateway.suspect_updates.listen();
 
         for change in gateway.quarantine.borrow_mut().take_stored_changes() {
             // A newer change of a request replaces a pending one.
--- a/grebedeck/src/gateway/halls.rs
+++ b/grebedeck/src/gateway/halls.rs
@@ -77,7 +77,7 @@
         unreadable.iter().for_each(|what| self.log_unreadable_key(what));
 
         if let Some(site) = site {
-            self.take_site(&site, "store");
+            self.apply_site(&site, "store");
         }
 
         match unreadable.first() {
@@ -91,7 +91,7 @@
         for change in changes {
             match change {
                 OperatorChange::Site(site) => {
-                    self.take_site(&site, "store");
+                    self.apply_site(&site, "store");
                 }
                 OperatorChange::Evacuated { version, hall } => {
                     self.update_halls("store", |halls, now| {
@@ -145,7 +145,7 @@
         let is_late = self.with_targets(|t| t.is_index_stale(HOUSEKEEPING_PERIOD, self.now()));
 
         if is_late {
-            self.drop_lapsed();
+            self.remove_lapsed_targets();
         }
     }
 
@@ -195,7 +195,7 @@
             }
         }
 
-        self.freed.notify(usize::MAX);
+        self.slot_freed.notify(usize::MAX);
     }
 
     fn log_unreadable_key(&self, what: &Unreadable) {
--- a/grebedeck/src/gateway/health.rs
+++ b/grebedeck/src/gateway/health.rs
@@ -12,7 +12,9 @@
 use grebedeck_routing::LoadReport;
 
 use super::mechanism::Mechanism;
-use super::options::{GROUP_WORD_LIFETIME, OUTAGE_FAILURES, OVERDUE, START_LAG, TRIAL_PAUSE};
+use super::options::{
+    GROUP_REPORT_LIFETIME, OUTAGE_FAILURES, OVERDUE_ESTIMATE, PROBE_INTERVAL, PROCESS_START_TIME,
+};
 use super::pool::MAX_KEPT;
 use super::service::Gateway;
 use super::tried::FailureCause;
@@ -24,7 +26,7 @@
     pub fn max_idle_connections(&self, service: &str) -> usize {
         let table = self.table();
         let cap = table.service(service).map_or(MAX_KEPT, |s| s.max_connections);
-        let share = cap / self.gateways() / 2;
+        let share = cap / self.gateway_count() / 2;
 
         share.clamp(1, MAX_KEPT)
     }
@@ -57,7 +59,7 @@
             waiting: load.waiting,
             slots: target.slots,
         };
-        self.note_load(&target.id, report);
+        self.record_load(&target.id, report);
         self.record_slowdown(&target.id, load.slowdown);
 
         self.groups.borrow_mut().insert(target.id.clone(), load.group);
@@ -107,7 +109,7 @@
         if self.with_outage(service, |outage| outage.record_open(load.group, load.formation, now)) {
             log::info!("group open", kv: { service, target = target.id.as_str() });
             self.refusals.borrow_mut().record_recovery(service, now);
-            self.freed.notify(usize::MAX);
+            self.slot_freed.notify(usize::MAX);
         }
     }
 
@@ -155,7 +157,7 @@
         if self.with_outage(service, |outage| outage.record_success(now)) {
             log::info!("service back", kv: { service });
             self.refusals.borrow_mut().record_recovery(service, now);
-            self.freed.notify(usize::MAX);
+            self.slot_freed.notify(usize::MAX);
         }
     }
 
@@ -189,14 +191,14 @@
         let form = table.service(service).and_then(|s| s.engine.as_ref()).map(|e| e.form);
         let stall = Duration::from_millis(self.settings().engine_stall_ms);
         // An outage that the first request finds may have begun when the process was started.
-        let expected = (stall + form.unwrap_or_default()).saturating_sub(START_LAG);
+        let expected = (stall + form.unwrap_or_default()).saturating_sub(PROCESS_START_TIME);
 
         OutageOptions {
             failure_threshold: OUTAGE_FAILURES,
             expected_duration: expected,
-            overdue_estimate: OVERDUE,
-            report_lifetime: GROUP_WORD_LIFETIME,
-            probe_interval: TRIAL_PAUSE,
+            overdue_estimate: OVERDUE_ESTIMATE,
+            report_lifetime: GROUP_REPORT_LIFETIME,
+            probe_interval: PROBE_INTERVAL,
         }
     }
 }
--- a/grebedeck/src/gateway/peers.rs
+++ b/grebedeck/src/gateway/peers.rs
@@ -177,7 +177,7 @@
     loop {
         sleep(POLL_PERIOD).await;
 
-        if !gateway.is_store_away(gateway.settings().store_silence()) {
+        if !gateway.is_store_unavailable(gateway.settings().max_store_silence()) {
             continue;
         }
 
@@ -231,15 +231,15 @@
     gateway.merge_hall_statuses(&state.halls);
 
     if let Some(site) = state.site.filter(|_| gateway.operator.has_hall_statuses()) {
-        gateway.take_site(&site, "peer");
+        gateway.apply_site(&site, "peer");
     }
 
-    gateway.change_targets(|targets, now| {
+    gateway.update_targets(|targets, now| {
         targets.apply_snapshot(state.targets_version, state.targets, now)
     });
 
     if state.targets_version > 0 {
-        gateway.set_targets_known();
+        gateway.record_targets_known();
     }
 }
 
--- a/grebedeck/src/gateway/refusing.rs
+++ b/grebedeck/src/gateway/refusing.rs
@@ -27,7 +27,7 @@
     /// Marks a target as leaving if the head of a response says so, whichever request it answers.
     pub(super) fn record_leaving_header(&self, target: &TargetEntry, head: &ResponseHead) {
         if head.headers.all(self.names.leaving).any(says_leaving) {
-            self.change_targets(|targets, now| targets.record_leaving(target, now));
+            self.update_targets(|targets, now| targets.record_leaving(target, now));
         }
     }
 
@@ -54,7 +54,7 @@
                 waiting: load.waiting,
                 slots: load.slots,
             };
-            self.note_load(&target.id, report);
+            self.record_load(&target.id, report);
         }
     }
 
@@ -109,7 +109,7 @@
             log::info!("target accepts requests again", kv: { target, left_out });
         }
 
-        self.freed.notify(usize::MAX);
+        self.slot_freed.notify(usize::MAX);
     }
 
     /// Records that a request is sent to a target, which is a probe if the target refused before.
--- a/grebedeck/src/gateway/relay.rs
+++ b/grebedeck/src/gateway/relay.rs
@@ -612,7 +612,7 @@
     let feed = T::feed(&gateway.relay).borrow();
     let age = feed.age(gateway.now());
     // A process that was suspended may not have noticed yet that its watch has ended.
-    let is_stale = age > gateway.settings().relay_age_limit();
+    let is_stale = age > gateway.settings().max_relay_age();
 
     let is_store_failing = gateway.relay.relays.borrow().is_store_failing(gateway.now());
 
--- a/grebedeck/src/gateway/suspects.rs
+++ b/grebedeck/src/gateway/suspects.rs
@@ -20,7 +20,7 @@
 use grebedeck_routing::{Clearance, Fingerprint, Report, TargetStart};
 
 use super::assignment;
-use super::options::CONNECT_LIMIT;
+use super::options::CONNECT_TIMEOUT;
 use super::place::NoPlace;
 use super::request::RoutedRequest;
 use super::service::Gateway;
@@ -98,13 +98,13 @@
         let quarantine = self.quarantine.borrow();
         let suspicion = quarantine.suspicion(fingerprint);
 
-        if let Some(left) = self.answered.borrow().remaining(fingerprint, suspicion, now) {
+        if let Some(left) = self.crash_cooldown.borrow().remaining(fingerprint, suspicion, now) {
             self.counters.quarantine.add("held_back");
             return Clearance::Refuse(left);
         }
 
         match quarantine.probe_time_left(fingerprint, now) {
-            Some(left) if !self.answered.borrow().was_answered_recently(fingerprint) => {
+            Some(left) if !self.crash_cooldown.borrow().was_answered_recently(fingerprint) => {
                 Clearance::Wait(left)
             }
             _ => Clearance::Allow,
@@ -164,7 +164,7 @@
     /// Records that a request was answered, which clears it of suspicion.
     pub(super) fn record_request_answered(&self, request: &RoutedRequest) {
         if self.crash_stops_others(&request.service) {
-            self.answered.borrow_mut().record_answer(request.fingerprint());
+            self.crash_cooldown.borrow_mut().record_answer(request.fingerprint());
         }
 
         if self.quarantine.borrow().is_idle() {
@@ -186,7 +186,7 @@
     /// Wakes the tasks that publish updates to other gateways and to the store, if there are any.
     fn notify_updates(&self) {
         if self.quarantine.borrow().has_updates() {
-            self.suspects_news.notify(usize::MAX);
+            self.suspect_updates.notify(usize::MAX);
         }
     }
 
@@ -295,7 +295,8 @@
 
 /// Probes a target on which an attempt broke, to find out whether it has crashed.
 async fn probe_target(gateway: Rc<Gateway>, target: Arc<TargetEntry>, start: TargetStart) {
-    let (result, connection) = liveness::look(target.address, CONNECT_LIMIT, MIN_OPEN_TIME).await;
+    let (result, connection) =
+        liveness::probe(target.address, CONNECT_TIMEOUT, MIN_OPEN_TIME).await;
 
     if let Some(connection) = connection {
         // The probe's connection replaces the one that broke.
@@ -317,7 +318,7 @@
 
     for _ in 0..MAX_NEIGHBOUR_PROBES.min(others.len()) {
         let target = others.swap_remove(ProcessRandom::default().below(others.len()));
-        let connected = Connection::connect(target.address, CONNECT_LIMIT).await;
+        let connected = Connection::connect(target.address, CONNECT_TIMEOUT).await;
 
         if connected.is_err_and(|error| error.is_refused()) {
             let start = TargetStart::listed(&target.id, target.born_ms);
--- a/grebedeck/src/gateway/watch.rs
+++ b/grebedeck/src/gateway/watch.rs
@@ -60,12 +60,12 @@
             Ok(next) => {
                 backoff.reset();
                 gateway.counters.store_calls.add("answered");
-                gateway.store_answered();
+                gateway.record_store_answer();
                 after = next;
             }
             Err(error) => {
                 gateway.counters.store_calls.add("failed");
-                gateway.store_failed();
+                gateway.record_store_failure();
                 // A snapshot brings the changes made meanwhile.
                 after = None;
                 backoff.wait_after_failure(&error).await;
@@ -121,13 +121,13 @@
 
                 // A relay has already waited between its own calls.
                 if !gateway.relay.follows_relay() {
-                    sleep(gateway.settings().targets_pause()).await;
+                    sleep(gateway.settings().targets_poll_interval()).await;
                 }
             }
             Err(error) => {
                 after = None;
                 gateway.counters.store_calls.add("failed");
-                gateway.change_targets(|targets, _| {
+                gateway.update_targets(|targets, _| {
                     targets.record_store_failure();
                     Vec::new()
                 });
@@ -149,15 +149,15 @@
         let apply = |targets: &mut TargetList, now| {
             targets.apply_snapshot(snapshot.version, snapshot.value, now)
         };
-        gateway.change_targets(apply);
-        gateway.set_targets_known();
+        gateway.update_targets(apply);
+        gateway.record_targets_known();
 
         return Ok(Some(snapshot.version));
     };
 
     match store.watch_targets(after, gateway.settings().store_wait()).await? {
         Watched::Changed { version, changes } => {
-            gateway.change_targets(|targets, now| targets.apply_changes(version, changes, now));
+            gateway.update_targets(|targets, now| targets.apply_changes(version, changes, now));
 
             Ok(Some(version))
         }
--- a/grebedeck/src/liveness.rs
+++ b/grebedeck/src/liveness.rs
@@ -1,4 +1,4 @@
-//! Looking at a target on which an attempt broke, whether it has crashed.
+//! Probe of a target after a failed attempt, to find out whether the target has crashed.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,17 +7,19 @@
 use grebedeck_http::Connection;
 use grebedeck_routing::quarantine::ProbeResult;
 
-/// Connections that are tried until one stays open or is refused.
-const MAX_LOOKS: u32 = 3;
+/// Maximum number of connections to try until one stays open or is refused.
+const MAX_CONNECTS: u32 = 3;
 
-/// Finds out whether a target has crashed: it then refuses connections. One that is ending may still accept some, so
-/// a connection has to stay open for a while. Where the target is alive, the connection is given as well.
-pub async fn look(
+/// Determines whether a target has crashed.
+///
+/// A crashed target refuses connections. A target that is exiting may still accept some, so it
+/// counts as alive only if a connection stays open for `stays_open`; that connection is returned.
+pub async fn probe(
     address: SocketAddr,
     connect_limit: Duration,
     stays_open: Duration,
 ) -> (ProbeResult, Option<Connection>) {
-    for _ in 0..MAX_LOOKS {
+    for _ in 0..MAX_CONNECTS {
         let mut connection = match Connection::connect(address, connect_limit).await {
             Ok(connection) => connection,
             Err(error) if error.is_refused() => return (ProbeResult::Crashed, None),
