--- a/grebedeck/src/gateway.rs
+++ b/grebedeck/src/gateway.rs
@@ -167,6 +167,6 @@
         gateway.forget_limits();
         gateway.refusals.borrow_mut().remove_expired(gateway.now());
         gateway.quarantine.borrow_mut().evict_expired(gateway.now());
-        gateway.pool.drop_rested(gateway.now());
+        gateway.pool.close_expired(gateway.now());
     }
 }
--- a/grebedeck/src/gateway/attempt.rs
+++ b/grebedeck/src/gateway/attempt.rs
@@ -11,14 +11,14 @@
 use grebedeck_gateway::{TargetEntry, Verdict, judge};
 use grebedeck_http::{BodyDecoder, Connection, Decoded, HttpError, ResponseHead, response_framing};
 
-use super::opened::{Opened, Sent};
+use super::opened::{OpenAnswer, SentRequest};
 use super::options::{CONNECT_LIMIT, MAX_ANSWER_HEAD_BYTES, UNREAD_BYTES};
-use super::place::Place;
+use super::place::Slot;
 use super::refusing::refusal_cause;
 use super::request::RoutedRequest;
 use super::service::Gateway;
 use super::trace::Decision;
-use super::tried::{Failure, FailureCause, Refusal};
+use super::tried::{AttemptFailure, FailureCause, Refusal};
 
 /// Answers of earlier requests that are read away before a connection is given up.
 const MAX_SURPLUS_ANSWERS: u32 = 2;
@@ -39,7 +39,7 @@
     }
 
     /// Notes what the request showed of the target's health.
-    pub fn judge(&mut self, success: bool) {
+    pub fn record_success(&mut self, success: bool) {
         self.success = Some(success);
     }
 }
@@ -57,8 +57,8 @@
 pub async fn open<'a>(
     gateway: &Rc<Gateway>,
     request: &'a RoutedRequest,
-    place: Place,
-) -> Result<Opened<'a>, Failure> {
+    place: Slot,
+) -> Result<OpenAnswer<'a>, AttemptFailure> {
     let target = place.target.clone();
     let opened = send(gateway, request, place).await;
 
@@ -73,21 +73,21 @@
                 gateway.note_taken(&request.service);
             }
         }
-        Err(failure) => note_failure(gateway, request, &target, failure),
+        Err(failure) => record_failure(gateway, request, &target, failure),
     }
 
     opened
 }
 
-fn note_failure(
+fn record_failure(
     gateway: &Gateway,
     request: &RoutedRequest,
     target: &TargetEntry,
-    failure: &Failure,
+    failure: &AttemptFailure,
 ) {
-    let Failure { cause, .. } = *failure;
+    let AttemptFailure { cause, .. } = *failure;
     gateway.counters.attempts.add(cause.word());
-    let decision = Decision::Failed { target: target.id.clone(), failure: *failure };
+    let decision = Decision::AttemptFailed { target: target.id.clone(), failure: *failure };
     request.trace.add(gateway.now(), decision);
 
     match cause {
@@ -110,22 +110,22 @@
 async fn send<'a>(
     gateway: &Rc<Gateway>,
     request: &'a RoutedRequest,
-    place: Place,
-) -> Result<Opened<'a>, Failure> {
-    let Place { target, mut in_flight, permit } = place;
+    place: Slot,
+) -> Result<OpenAnswer<'a>, AttemptFailure> {
+    let Slot { target, mut in_flight, permit } = place;
     let target = &target;
     let left = request.deadline.saturating_sub(gateway.now());
 
     let mut connection = match connect(gateway, target, left).await {
         Ok(connection) => connection,
         Err(error) => {
-            in_flight.judge(false);
+            in_flight.record_success(false);
 
             if error.is_refused() && !gateway.is_earlier_start(target) {
                 gateway.suspect_start(target);
             }
 
-            return Err(Failure::not_run(FailureCause::Connect));
+            return Err(AttemptFailure::not_run(FailureCause::Connect));
         }
     };
 
@@ -134,7 +134,7 @@
 
     if is_stopped || !gateway.use_permit(target, permit) {
         connection.end_exchange();
-        return Err(Failure::not_run(FailureCause::Withdrawn));
+        return Err(AttemptFailure::not_run(FailureCause::Withdrawn));
     }
 
     let sent_at = gateway.now();
@@ -142,12 +142,12 @@
     let head = request.head_for(target, left, &gateway.names);
     let exchange = async {
         connection.write_message(head, &request.request.body).await?;
-        read_own_head(gateway, request, target, &mut connection).await
+        read_matching_head(gateway, request, target, &mut connection).await
     };
 
     let cause = match timeout(left, exchange).await {
         Ok(Ok(head)) => {
-            let sent = Sent { request, target: target.clone(), sent_at };
+            let sent = SentRequest { request, target: target.clone(), sent_at };
             return accept_head(gateway, sent, connection, head, in_flight);
         }
         Ok(Err(HttpError::Malformed(_))) => FailureCause::Unusable,
@@ -159,8 +159,8 @@
         gateway.note_broken(request, target, sent_at);
     }
 
-    in_flight.judge(false);
-    Err(Failure::may_have_run(cause))
+    in_flight.record_success(false);
+    Err(AttemptFailure::may_have_run(cause))
 }
 
 async fn connect(
@@ -185,7 +185,7 @@
 
 /// Reads the head of the answer to this request. Answers to earlier requests on the connection, which
 /// a faulty target may send again, are read away.
-async fn read_own_head(
+async fn read_matching_head(
     gateway: &Gateway,
     request: &RoutedRequest,
     target: &TargetEntry,
@@ -226,9 +226,9 @@
 }
 
 /// Takes in what a target says of itself beside the answer. Where another one has its address, that one speaks.
-fn note_words(
+fn record_target_state(
     gateway: &Gateway,
-    sent: &Sent,
+    sent: &SentRequest,
     head: &ResponseHead,
     verdict: Verdict,
     refusal: Refusal,
@@ -255,7 +255,7 @@
 
 /// Closes a connection in order whose target has refused the request, where the refusal is here whole. It is not
 /// waited for.
-fn end_refused(connection: &mut Connection, decoder: &mut BodyDecoder) {
+fn drain_refusal(connection: &mut Connection, decoder: &mut BodyDecoder) {
     while let Ok(Decoded::Data(_)) = decoder.decode(connection.buffer()) {}
 
     if decoder.is_ended() {
@@ -265,40 +265,40 @@
 
 fn accept_head<'a>(
     gateway: &Rc<Gateway>,
-    sent: Sent<'a>,
+    sent: SentRequest<'a>,
     mut connection: Connection,
     head: ResponseHead,
     mut in_flight: InFlight,
-) -> Result<Opened<'a>, Failure> {
+) -> Result<OpenAnswer<'a>, AttemptFailure> {
     let is_signed = head.headers.get(gateway.names.signature).is_some();
     let says_not_run = head.headers.get(gateway.names.not_run).is_some();
     let verdict = judge(head.status, is_signed, says_not_run);
     let load = head.headers.text(gateway.names.load).and_then(TargetLoad::parse);
     let refusal = refusal(gateway, &head);
-    note_words(gateway, &sent, &head, verdict, refusal, load);
+    record_target_state(gateway, &sent, &head, verdict, refusal, load);
 
     let Ok(framing) = response_framing(&head, &sent.request.request.head.method) else {
-        in_flight.judge(false);
-        return Err(Failure::may_have_run(FailureCause::Unusable));
+        in_flight.record_success(false);
+        return Err(AttemptFailure::may_have_run(FailureCause::Unusable));
     };
     let mut decoder = BodyDecoder::new(framing);
 
     if matches!(verdict, Verdict::Refused | Verdict::OtherTarget) {
-        end_refused(&mut connection, &mut decoder);
+        drain_refusal(&mut connection, &mut decoder);
     }
 
     match verdict {
-        Verdict::Refused => return Err(Failure::refused(refusal_cause(load), refusal)),
+        Verdict::Refused => return Err(AttemptFailure::refused(refusal_cause(load), refusal)),
         Verdict::OtherTarget => {
-            in_flight.judge(false);
-            return Err(Failure::not_run(FailureCause::OtherTarget));
+            in_flight.record_success(false);
+            return Err(AttemptFailure::not_run(FailureCause::OtherTarget));
         }
         Verdict::Unusable => {
-            in_flight.judge(false);
-            return Err(Failure::may_have_run(FailureCause::Unusable));
+            in_flight.record_success(false);
+            return Err(AttemptFailure::may_have_run(FailureCause::Unusable));
         }
         Verdict::Pass | Verdict::Failure => {}
     }
 
-    Ok(Opened { head, verdict, connection, decoder, sent, in_flight, gateway: gateway.clone() })
+    Ok(OpenAnswer { head, verdict, connection, decoder, sent, in_flight, gateway: gateway.clone() })
 }
--- a/grebedeck/src/gateway/buffer.rs
+++ b/grebedeck/src/gateway/buffer.rs
@@ -86,7 +86,7 @@
     }
 
     /// Adds a part once there is memory for it, within a limit; tells whether there was.
-    pub async fn push_later(&mut self, part: &[u8], limit: Duration) -> bool {
+    pub async fn push_with_wait(&mut self, part: &[u8], limit: Duration) -> bool {
         self.reserve(self.bytes.len() + part.len(), limit).await && self.push(part)
     }
 
@@ -109,16 +109,16 @@
     }
 
     /// Drops the bytes and goes on to count them, for a holder that has copied them.
-    pub fn move_out(&mut self) {
+    pub fn discard_bytes(&mut self) {
         self.bytes = Vec::new();
     }
 
     /// Notes how many bytes are kept elsewhere for this holder; gives `false` where there is no memory for them.
-    pub fn note_len(&mut self, len_bytes: usize) -> bool {
+    pub fn set_external_len(&mut self, len_bytes: usize) -> bool {
         if len_bytes < self.reserved_bytes {
             let surplus = self.reserved_bytes - len_bytes;
             self.reserved_bytes = len_bytes;
-            self.give_back(surplus);
+            self.release(surplus);
         }
 
         self.try_reserve(len_bytes)
@@ -135,7 +135,7 @@
         is_taken
     }
 
-    fn give_back(&self, bytes: usize) {
+    fn release(&self, bytes: usize) {
         if bytes > 0 {
             self.shared.memory.borrow_mut().release(bytes);
             self.shared.freed.notify(usize::MAX);
@@ -153,6 +153,6 @@
 
 impl Drop for Buffer {
     fn drop(&mut self) {
-        self.give_back(self.reserved_bytes);
+        self.release(self.reserved_bytes);
     }
 }
--- a/grebedeck/src/gateway/caller.rs
+++ b/grebedeck/src/gateway/caller.rs
@@ -18,9 +18,9 @@
 use super::options::{NO_MEMORY_WAIT, READ_AHEAD_BYTES, SITE_WAIT};
 use super::request::{CallerRequest, RoutedRequest};
 use super::service::Gateway;
-use super::trace::{Decision, End, Trace};
-use super::whole::WholeAnswer;
-use super::writer::{self, Written};
+use super::trace::{Decision, Outcome, Trace};
+use super::whole::BufferedAnswer;
+use super::writer::{self, WriteOutcome};
 use super::{stop, stream, whole};
 use crate::random::ProcessRandom;
 use crate::settings::millis;
@@ -31,21 +31,21 @@
 const WRITE_LIMIT: Duration = Duration::from_secs(10);
 
 /// Why a request could not be read.
-enum Unread {
+enum ReadError {
     Failed(HttpError),
     /// There is no memory for its body.
     NoMemory,
 }
 
-impl From<HttpError> for Unread {
+impl From<HttpError> for ReadError {
     fn from(error: HttpError) -> Self {
-        Unread::Failed(error)
+        ReadError::Failed(error)
     }
 }
 
 /// Whether a connection may carry another request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum After {
+pub enum Reuse {
     /// It may.
     Keep,
     /// It must be closed.
@@ -68,7 +68,7 @@
 
         let _serving = stop::serving(&gateway);
 
-        if serve_one(&gateway, &mut connection).await == After::Close {
+        if serve_one(&gateway, &mut connection).await == Reuse::Close {
             return;
         }
     }
@@ -102,39 +102,39 @@
     }
 }
 
-async fn serve_one(gateway: &Rc<Gateway>, connection: &mut Connection) -> After {
+async fn serve_one(gateway: &Rc<Gateway>, connection: &mut Connection) -> Reuse {
     let request = match read_request(gateway, connection).await {
         Ok(request) => request,
         Err(error) => {
-            refuse_unread(gateway, connection, &error).await;
-            return After::Close;
+            answer_read_error(gateway, connection, &error).await;
+            return Reuse::Close;
         }
     };
 
     let keep = request.head.keeps_alive() && !gateway.stop.is_stopping();
-    let after = if keep { After::Keep } else { After::Close };
+    let reuse = if keep { Reuse::Keep } else { Reuse::Close };
     let key = request.key(&gateway.names);
     let host = request.head.headers.text("host").unwrap_or_default();
-    let table = known_table(gateway).await;
+    let table = wait_for_table(gateway).await;
     let leave = millis(gateway.settings().leave_ms);
 
     if gateway.stop.refuses(leave, gateway.now()) {
         gateway.counters.refusals.add("stopping");
-        let answer = WholeAnswer::not_ready(&request, &gateway.names);
-        return write_whole(gateway, connection, answer, After::Close).await;
+        let answer = BufferedAnswer::not_ready(&request, &gateway.names);
+        return write_buffered(gateway, connection, answer, Reuse::Close).await;
     }
 
     let admitted = match table.admit(host, request.head.path(), key) {
         Ok(admitted) => admitted,
         Err(reason) => {
             let answer = deny(gateway, &request, reason, table.version());
-            return write_whole(gateway, connection, answer, after).await;
+            return write_buffered(gateway, connection, answer, reuse).await;
         }
     };
 
     let Some(service) = draw_service(&admitted.rule, &mut ProcessRandom::default()) else {
         let answer = deny(gateway, &request, Denied::NoRoute, table.version());
-        return write_whole(gateway, connection, answer, after).await;
+        return write_buffered(gateway, connection, answer, reuse).await;
     };
     let service = service.to_string();
     let by_urgency = gateway.uses(Mechanism::UrgencyOrder);
@@ -142,19 +142,19 @@
     let routed = Rc::new(RoutedRequest::new(request, admitted, service, rank, &gateway.names));
 
     if routed.admitted.rule.kind.is_stream() {
-        return stream::serve(gateway, &routed, connection, after).await;
+        return stream::serve(gateway, &routed, connection, reuse).await;
     }
 
-    serve_whole(gateway, &routed, connection, after).await
+    serve_buffered(gateway, &routed, connection, reuse).await
 }
 
 /// Serves a request whose answer is read whole before the caller gets it.
-async fn serve_whole(
+async fn serve_buffered(
     gateway: &Rc<Gateway>,
     routed: &Rc<RoutedRequest>,
     connection: &mut Connection,
-    after: After,
-) -> After {
+    reuse: Reuse,
+) -> Reuse {
     let answered = {
         let answering = whole::serve(gateway, routed);
         futures::select! {
@@ -165,34 +165,34 @@
     };
 
     let Some(answer) = answered else {
-        gateway.note_end(&routed.trace, End::CallerGone, false);
-        return After::Close;
+        gateway.note_end(&routed.trace, Outcome::CallerGone, false);
+        return Reuse::Close;
     };
     let took = gateway.now() - routed.request.arrived;
     gateway.counters.answer_times.note(took, "whole");
     let end = answer.end();
-    let written = write_answer(gateway, connection, answer, after).await;
+    let written = write_answer(gateway, connection, answer, reuse).await;
     let is_late = took > routed.admitted.rule.objective;
-    note_written(gateway, routed, end, written, is_late);
+    record_written(gateway, routed, end, written, is_late);
 
-    if written == Written::Whole { after } else { After::Close }
+    if written == WriteOutcome::Complete { reuse } else { Reuse::Close }
 }
 
 /// Notes how a request ends whose answer was written.
-fn note_written(
+fn record_written(
     gateway: &Gateway,
     routed: &Rc<RoutedRequest>,
-    end: End,
-    written: Written,
+    end: Outcome,
+    written: WriteOutcome,
     is_late: bool,
 ) {
-    if !matches!(written, Written::Stalled | Written::TimedOut) {
+    if !matches!(written, WriteOutcome::Stalled | WriteOutcome::TimedOut) {
         return gateway.note_end(&routed.trace, end, is_late);
     }
 
     gateway.counters.unread.add("answer_stalled");
-    routed.trace.add(gateway.now(), Decision::Unread { written, last_event_id: None });
-    gateway.note_end(&routed.trace, End::CallerStalled, is_late);
+    routed.trace.add(gateway.now(), Decision::AnswerUnread { written, last_event_id: None });
+    gateway.note_end(&routed.trace, Outcome::CallerStalled, is_late);
 }
 
 /// Makes the answer to a request that the configuration does not allow.
@@ -201,8 +201,8 @@
     request: &CallerRequest,
     reason: Denied,
     version: SiteVersion,
-) -> WholeAnswer {
-    let answer = WholeAnswer::denied(reason, request, &gateway.names);
+) -> BufferedAnswer {
+    let answer = BufferedAnswer::denied(reason, request, &gateway.names);
     let trace = Trace::new(request.id(&gateway.names), request.arrived);
     trace.add(gateway.now(), Decision::Denied { reason, version });
     gateway.counters.refusals.add(reason.label());
@@ -212,7 +212,7 @@
 }
 
 /// Gets the routes in force; at the start of the process, waits a moment for the first ones.
-async fn known_table(gateway: &Gateway) -> Rc<RouteTable> {
+async fn wait_for_table(gateway: &Gateway) -> Rc<RouteTable> {
     let known = async {
         while gateway.table().version() == 0 {
             gateway.freed.listen().await;
@@ -228,7 +228,7 @@
 async fn read_request(
     gateway: &Rc<Gateway>,
     connection: &mut Connection,
-) -> Result<CallerRequest, Unread> {
+) -> Result<CallerRequest, ReadError> {
     let arrived = gateway.now();
     let limits = gateway.table().limits();
     let head = read_head(connection, &limits).await?;
@@ -253,7 +253,7 @@
     connection: &mut Connection,
     framing: Framing,
     max_bytes: usize,
-) -> Result<Buffer, Unread> {
+) -> Result<Buffer, ReadError> {
     let mut decoder = BodyDecoder::new(framing);
     let mut body = Buffer::new(&gateway.bodies);
 
@@ -263,7 +263,7 @@
         }
 
         if !body.push(&part) {
-            return Err(Unread::NoMemory);
+            return Err(ReadError::NoMemory);
         }
     }
 
@@ -284,18 +284,18 @@
 }
 
 /// Answers a request that could not be read.
-async fn refuse_unread(gateway: &Gateway, connection: &Connection, error: &Unread) {
+async fn answer_read_error(gateway: &Gateway, connection: &Connection, error: &ReadError) {
     let status = match error {
-        Unread::Failed(HttpError::Io(_) | HttpError::Closed) => return,
-        Unread::Failed(HttpError::Malformed(_)) => 400,
-        Unread::Failed(HttpError::HeadTooLarge(_)) => 431,
-        Unread::Failed(HttpError::BodyTooLarge(_)) => 413,
-        Unread::Failed(HttpError::TimedOut) => 408,
-        Unread::NoMemory => 503,
+        ReadError::Failed(HttpError::Io(_) | HttpError::Closed) => return,
+        ReadError::Failed(HttpError::Malformed(_)) => 400,
+        ReadError::Failed(HttpError::HeadTooLarge(_)) => 431,
+        ReadError::Failed(HttpError::BodyTooLarge(_)) => 413,
+        ReadError::Failed(HttpError::TimedOut) => 408,
+        ReadError::NoMemory => 503,
     };
     let mut head = ResponseHead::new(status);
 
-    if matches!(error, Unread::NoMemory) {
+    if matches!(error, ReadError::NoMemory) {
         gateway.counters.unread.add("body_no_memory");
         let wait = format!("{:.3}", NO_MEMORY_WAIT.as_secs_f64());
         head.headers.push(gateway.names.retry_after, wait);
@@ -310,30 +310,30 @@
 }
 
 /// Writes an answer that is here whole; tells whether the connection may carry another request.
-pub async fn write_whole(
+pub async fn write_buffered(
     gateway: &Gateway,
     connection: &Connection,
-    answer: WholeAnswer,
-    after: After,
-) -> After {
-    match write_answer(gateway, connection, answer, after).await {
-        Written::Whole => after,
-        _ => After::Close,
+    answer: BufferedAnswer,
+    reuse: Reuse,
+) -> Reuse {
+    match write_answer(gateway, connection, answer, reuse).await {
+        WriteOutcome::Complete => reuse,
+        _ => Reuse::Close,
     }
 }
 
 async fn write_answer(
     gateway: &Gateway,
     connection: &Connection,
-    answer: WholeAnswer,
-    after: After,
-) -> Written {
+    answer: BufferedAnswer,
+    reuse: Reuse,
+) -> WriteOutcome {
     let until = gateway.now() + WRITE_LIMIT;
-    let (bytes, body) = answer.into_parts(after);
+    let (bytes, body) = answer.into_parts(reuse);
     let written = writer::write(gateway, connection, &bytes, until).await;
 
     match body {
-        Some(body) if written == Written::Whole => {
+        Some(body) if written == WriteOutcome::Complete => {
             writer::write(gateway, connection, &body, until).await
         }
         _ => written,
--- a/grebedeck/src/gateway/dump.rs
+++ b/grebedeck/src/gateway/dump.rs
@@ -39,7 +39,7 @@
                         Availability::Out(left) => Some(left.as_millis() as u64),
                     },
                     "waiting": self.waiting.dump(&service.name),
-                    "pause_ms": self.pause(&service.name).map(|p| p.as_millis() as u64),
+                    "pause_ms": self.mean_pause(&service.name).map(|p| p.as_millis() as u64),
                 })
             })
             .collect();
--- a/grebedeck/src/gateway/entering.rs
+++ b/grebedeck/src/gateway/entering.rs
@@ -12,21 +12,21 @@
 
 use super::handout;
 use super::hold;
-use super::place::{self, NoPlace, Place};
+use super::place::{self, NoSlot, Slot};
 use super::request::RoutedRequest;
 use super::service::Gateway;
 use super::trace::Decision;
-use super::waiting::{InLine, Line, Seeker};
+use super::waiting::{QueueEntry, QueueState, QueuedRequest};
 
 /// Weight of an organisation: no configuration names another.
 const WEIGHT: u64 = 1;
 
 /// What a request has got.
-pub enum Entered {
+pub enum Acquisition {
     /// A place.
-    Placed(Place),
+    Acquired(Slot),
     /// A place in line.
-    InLine(InLine),
+    Queued(QueueEntry),
 }
 
 /// Gets a place at once, gets in line, or learns why there is no use in either.
@@ -34,23 +34,23 @@
     gateway: &Rc<Gateway>,
     request: &Rc<RoutedRequest>,
     tried: &[TargetId],
-) -> Result<Entered, NoPlace> {
+) -> Result<Acquisition, NoSlot> {
     let now = gateway.now();
     let service = &request.service;
     let urgency = request.admitted.urgency();
-    gateway.waiting.make_line(&gateway.table(), gateway.is_ranked(service), service);
+    gateway.waiting.ensure_queue(&gateway.table(), gateway.is_ranked(service), service);
     let is_first = gateway.waiting.is_empty(service);
 
     let reason = if is_first {
-        match place::take(gateway, request, tried, now) {
+        match place::try_acquire(gateway, request, tried, now) {
             Ok(place) => {
-                gateway.waiting.with(service, |line| line.queue.note_at_once(urgency, now));
-                return Ok(Entered::Placed(place));
+                gateway.waiting.with(service, |state| state.queue.note_at_once(urgency, now));
+                return Ok(Acquisition::Acquired(place));
             }
             Err(reason) => handout::note_obstacle(gateway, service, reason),
         }
     } else {
-        gateway.waiting.with(service, |line| line.obstacle.reason).unwrap_or(NoPlace::Full)
+        gateway.waiting.with(service, |state| state.obstacle.reason).unwrap_or(NoSlot::Full)
     };
 
     let start_by = hold::start_by(gateway, request, tried, now);
@@ -58,42 +58,46 @@
     let give_up = hold::held_until(gateway, request, reason, give_up, now).ok_or(reason)?;
     let waiter = waiter(gateway, request, tried, start_by, give_up);
 
-    if hold::can_be_in_time(gateway, request) {
-        turn_away(gateway, &waiter, service, reason, now)?;
+    if hold::can_meet_objective(gateway, request) {
+        reject_late(gateway, &waiter, service, reason, now)?;
     }
 
-    let line = line_up(gateway, request, tried, waiter, now)?;
+    let line = enqueue(gateway, request, tried, waiter, now)?;
 
     // Who goes before all others may find a place that is of no use to them.
-    let is_next = |line: &mut Line| line.queue.peek(now).map(|(ticket, _)| ticket);
+    let is_next = |state: &mut QueueState| state.queue.peek(now).map(|(ticket, _)| ticket);
     if !is_first && gateway.waiting.with(service, is_next).flatten() == Some(line.ticket) {
         handout::hand_out(gateway, service);
     }
 
-    Ok(Entered::InLine(line))
+    Ok(Acquisition::Queued(line))
 }
 
 /// Gives up who can't be in time behind those who go first: the newcomer, or others less urgent than it. All of them are
 /// told while a second try is still of use. Only where all places are taken or all targets have a limit, as the rate of an
 /// outage says nothing.
-fn turn_away(
+fn reject_late(
     gateway: &Rc<Gateway>,
     waiter: &Waiter,
     service: &str,
-    reason: NoPlace,
+    reason: NoSlot,
     now: Moment,
-) -> Result<(), NoPlace> {
+) -> Result<(), NoSlot> {
     let expected = match reason {
-        NoPlace::Full if is_ranked(gateway, service) => {
-            let wait = |line: &mut Line| line.queue.expected_wait(waiter);
-
-            gateway.waiting.with(service, wait).flatten().map(|wait| (wait, NoPlace::Behind(wait)))
+        NoSlot::Full if is_ranked(gateway, service) => {
+            let wait = |state: &mut QueueState| state.queue.expected_wait(waiter);
+
+            gateway
+                .waiting
+                .with(service, wait)
+                .flatten()
+                .map(|wait| (wait, NoSlot::Outranked(wait)))
         }
-        NoPlace::Limited(_) => {
-            let ahead = gateway.waiting.with(service, |line| line.queue.ahead_of(waiter));
+        NoSlot::RateLimited(_) => {
+            let ahead = gateway.waiting.with(service, |state| state.queue.ahead_of(waiter));
             let wait = gateway.permit_wait(service, ahead.unwrap_or_default());
 
-            wait.map(|wait| (wait, NoPlace::Limited(wait)))
+            wait.map(|wait| (wait, NoSlot::RateLimited(wait)))
         }
         _ => return Ok(()),
     };
@@ -103,21 +107,21 @@
     }
 
     if let Some((_, reason)) = expected.filter(|(wait, _)| now + *wait > waiter.start_by) {
-        gateway.waiting.with(service, |line| line.queue.note_refused(waiter.urgency, now));
+        gateway.waiting.with(service, |state| state.queue.note_refused(waiter.urgency, now));
         return Err(reason);
     }
 
     while let Some((ticket, wait)) =
-        gateway.waiting.with(service, |line| line.queue.hopeless(waiter.urgency, now)).flatten()
+        gateway.waiting.with(service, |state| state.queue.hopeless(waiter.urgency, now)).flatten()
     {
-        handout::answer(gateway, service, ticket, Err(NoPlace::Behind(wait)), now);
+        handout::answer(gateway, service, ticket, Err(NoSlot::Outranked(wait)), now);
     }
 
     Ok(())
 }
 
 fn is_ranked(gateway: &Gateway, service: &str) -> bool {
-    let is_ranked = |line: &mut Line| line.queue.order() == Order::Urgency;
+    let is_ranked = |state: &mut QueueState| state.queue.order() == Order::Urgency;
 
     gateway.waiting.with(service, is_ranked).unwrap_or(false)
 }
@@ -143,38 +147,39 @@
         tokens,
         start_by,
         give_up,
-        goes_on: place::goes_on(request, tried),
+        goes_on: place::is_resumed_stream(request, tried),
     }
 }
 
-fn line_up(
+fn enqueue(
     gateway: &Rc<Gateway>,
     request: &Rc<RoutedRequest>,
     tried: &[TargetId],
     waiter: Waiter,
     now: Moment,
-) -> Result<InLine, NoPlace> {
+) -> Result<QueueEntry, NoSlot> {
     let service = &request.service;
     let urgency = waiter.urgency;
     let (sender, receiver) = oneshot::channel();
-    let seeker = Seeker { request: request.clone(), tried: tried.to_vec(), answer: sender };
+    let seeker = QueuedRequest { request: request.clone(), tried: tried.to_vec(), reply: sender };
 
-    if let Some(ticket) = gateway.waiting.with(service, |l| l.queue.displaced_by(urgency)).flatten()
+    if let Some(ticket) =
+        gateway.waiting.with(service, |state| state.queue.displaced_by(urgency)).flatten()
     {
-        handout::answer(gateway, service, ticket, Err(NoPlace::Full), now);
+        handout::answer(gateway, service, ticket, Err(NoSlot::Full), now);
     }
 
-    let pushed = gateway.waiting.with(service, |line| {
-        let ahead = line.queue.ahead_of(&waiter);
-        let needs_task = !std::mem::replace(&mut line.is_served, true);
+    let pushed = gateway.waiting.with(service, |state| {
+        let ahead = state.queue.ahead_of(&waiter);
+        let needs_task = !std::mem::replace(&mut state.has_task, true);
 
-        (line.queue.push(waiter, seeker, now), ahead, needs_task)
+        (state.queue.push(waiter, seeker, now), ahead, needs_task)
     });
     let Some((Ok(ticket), ahead, needs_task)) = pushed else {
-        return Err(NoPlace::Full);
+        return Err(NoSlot::Full);
     };
 
-    request.trace.add(now, Decision::InLine { urgency, ahead });
+    request.trace.add(now, Decision::Queued { urgency, ahead });
     gateway.counters.in_line.came(urgency);
 
     if needs_task {
@@ -182,5 +187,5 @@
         gateway.tasks.spawn(task).detach();
     }
 
-    Ok(InLine { gateway: gateway.clone(), service: service.clone(), ticket, answer: receiver })
+    Ok(QueueEntry { gateway: gateway.clone(), service: service.clone(), ticket, reply: receiver })
 }
--- a/grebedeck/src/gateway/handout.rs
+++ b/grebedeck/src/gateway/handout.rs
@@ -13,7 +13,7 @@
 
 use super::hold;
 use super::options::{LOOK_PAUSE, MIN_WAIT, TRIAL_PAUSE};
-use super::place::{self, NoPlace, Place};
+use super::place::{self, NoSlot, Slot};
 use super::service::Gateway;
 use super::waiting::Obstacle;
 
@@ -23,7 +23,7 @@
         // Listening begins before the look, so that no place is missed between them.
         let freed = gateway.freed.listen();
         let Some(pause) = hand_out(&gateway, &service) else {
-            gateway.waiting.with(&service, |line| line.is_served = false);
+            gateway.waiting.with(&service, |line| line.has_task = false);
             return;
         };
         let _ = timeout(pause, freed).await;
@@ -34,15 +34,15 @@
 pub fn hand_out(gateway: &Rc<Gateway>, service: &str) -> Option<Duration> {
     loop {
         let now = gateway.now();
-        let (request, tried) = gateway.waiting.next(service, now)?;
+        let (request, tried) = gateway.waiting.peek(service, now)?;
 
-        match place::take(gateway, &request, &tried, now) {
+        match place::try_acquire(gateway, &request, &tried, now) {
             Ok(place) => {
                 let next = gateway.waiting.with(service, |line| line.queue.pop(now)).flatten();
                 let (waiter, seeker) = next?;
                 gateway.counters.in_line.left(waiter.urgency);
                 // Who has left in this moment gives the place back.
-                drop(seeker.answer.send(Ok(place)));
+                drop(seeker.reply.send(Ok(place)));
             }
             Err(reason) => {
                 give_up(gateway, service, reason, now);
@@ -56,20 +56,20 @@
 }
 
 /// Gets the time until the next look where nothing is told before.
-fn pause(reason: NoPlace) -> Duration {
+fn pause(reason: NoSlot) -> Duration {
     match reason {
-        NoPlace::Paced(left) => left.min(TRIAL_PAUSE),
-        NoPlace::Out(_)
-        | NoPlace::NoTargets
-        | NoPlace::Evacuated
-        | NoPlace::Resting(_)
-        | NoPlace::Quarantined(_) => TRIAL_PAUSE,
-        NoPlace::Full | NoPlace::Behind(_) | NoPlace::Limited(_) => LOOK_PAUSE,
+        NoSlot::PromptLimited(left) => left.min(TRIAL_PAUSE),
+        NoSlot::Out(_)
+        | NoSlot::NoTargets
+        | NoSlot::Evacuated
+        | NoSlot::DelayRequested(_)
+        | NoSlot::Quarantined(_) => TRIAL_PAUSE,
+        NoSlot::Full | NoSlot::Outranked(_) | NoSlot::RateLimited(_) => LOOK_PAUSE,
     }
 }
 
 /// Keeps why there is no place; gives it back.
-pub fn note_obstacle(gateway: &Gateway, service: &str, reason: NoPlace) -> NoPlace {
+pub fn note_obstacle(gateway: &Gateway, service: &str, reason: NoSlot) -> NoSlot {
     let obstacle = Obstacle { reason, is_overdue: gateway.is_overdue(service) };
     gateway.waiting.with(service, |line| line.obstacle = obstacle);
 
@@ -77,18 +77,18 @@
 }
 
 /// Gives up those for whom waiting is of no use any more, and holds longer whom that helps.
-fn give_up(gateway: &Rc<Gateway>, service: &str, reason: NoPlace, now: Moment) {
+fn give_up(gateway: &Rc<Gateway>, service: &str, reason: NoSlot, now: Moment) {
     let before = gateway.waiting.with(service, |line| line.obstacle);
     note_obstacle(gateway, service, reason);
     let is_overdue = gateway.is_overdue(service);
     let is_same = |o: Obstacle| {
         o.reason.word() == reason.word()
             && o.is_overdue == is_overdue
-            && o.reason.is_near() == reason.is_near()
+            && o.reason.is_brief() == reason.is_brief()
     };
     let is_other = !before.is_some_and(is_same);
     // How far off the end of an outage is changes for all of them all the time.
-    let concerns_all = is_other || (is_overdue && matches!(reason, NoPlace::Out(_)));
+    let concerns_all = is_other || (is_overdue && matches!(reason, NoSlot::Out(_)));
     let asked = gateway.waiting.with(service, |line| {
         let tickets = if concerns_all { line.queue.tickets() } else { line.queue.due(now) };
         let request = |ticket: &Ticket| {
@@ -114,7 +114,7 @@
     gateway: &Gateway,
     service: &str,
     ticket: Ticket,
-    answer: Result<Place, NoPlace>,
+    answer: Result<Slot, NoSlot>,
     now: Moment,
 ) {
     let removed = gateway.waiting.with(service, |line| line.queue.remove(ticket, now)).flatten();
@@ -122,6 +122,6 @@
     if let Some((waiter, seeker)) = removed {
         gateway.counters.in_line.left(waiter.urgency);
         // Who has left in this moment needs no answer.
-        drop(seeker.answer.send(answer));
+        drop(seeker.reply.send(answer));
     }
 }
--- a/grebedeck/src/gateway/health.rs
+++ b/grebedeck/src/gateway/health.rs
@@ -10,7 +10,7 @@
 
 use super::mechanism::Mechanism;
 use super::options::{GROUP_WORD_LIFETIME, OUTAGE_FAILURES, OVERDUE, START_LAG, TRIAL_PAUSE};
-use super::pool::MAX_KEPT;
+use super::pool::MAX_IDLE_PER_TARGET;
 use super::service::Gateway;
 use super::tried::FailureCause;
 use crate::rank::message::RankLoad;
@@ -20,10 +20,10 @@
     /// that the target takes from all callers together.
     pub fn max_kept(&self, service: &str) -> usize {
         let table = self.table();
-        let cap = table.service(service).map_or(MAX_KEPT, |s| s.max_connections);
+        let cap = table.service(service).map_or(MAX_IDLE_PER_TARGET, |s| s.max_connections);
         let part = cap / self.gateways() / 2;
 
-        part.clamp(1, MAX_KEPT)
+        part.clamp(1, MAX_IDLE_PER_TARGET)
     }
 
     /// Tells whether some rank has told its load.
@@ -72,7 +72,7 @@
     /// Over 8 seeds of a day with such a rank the service was worth 0.035 more.
     pub fn should_leave(&self, target: &TargetEntry, pause_limit: Duration) -> bool {
         let now = self.now();
-        let is_late = self.pause(&target.service).is_some_and(|pause| pause > pause_limit);
+        let is_late = self.mean_pause(&target.service).is_some_and(|pause| pause > pause_limit);
 
         if !is_late || !self.uses(Mechanism::SlowMoves) {
             return false;
--- a/grebedeck/src/gateway/hold.rs
+++ b/grebedeck/src/gateway/hold.rs
@@ -8,7 +8,7 @@
 
 use super::mechanism::Mechanism;
 use super::options::{HOLD_LIMIT, HOLD_MARGIN, MAX_HOLD, URGENT_WAIT_PART};
-use super::place::{self, NoPlace};
+use super::place::{self, NoSlot};
 use super::request::RoutedRequest;
 use super::service::Gateway;
 
@@ -20,7 +20,7 @@
     now: Moment,
 ) -> Moment {
     // A stream that has begun would be cut, so it waits for as long as its caller does.
-    let until = if place::goes_on(request, tried) {
+    let until = if place::is_resumed_stream(request, tried) {
         now + MAX_HOLD
     } else {
         let objective = request.admitted.rule.objective;
@@ -32,7 +32,7 @@
 
 /// Tells whether a request can be in time wherever it goes; else a refusal does not help it, and only who is less
 /// urgent should make room.
-pub fn can_be_in_time(gateway: &Gateway, request: &RoutedRequest) -> bool {
+pub fn can_meet_objective(gateway: &Gateway, request: &RoutedRequest) -> bool {
     let objective = request.admitted.rule.objective;
 
     gateway.patience(&request.service, objective) > WaitLimitOptions::default().min_wait
@@ -63,35 +63,40 @@
 pub fn held_until(
     gateway: &Gateway,
     request: &RoutedRequest,
-    reason: NoPlace,
+    reason: NoSlot,
     give_up: Moment,
     now: Moment,
 ) -> Option<Moment> {
-    let is_held_longer = least_hold(gateway, reason, request, now) > give_up;
+    let is_held_longer = min_hold_until(gateway, reason, request, now) > give_up;
     // Who has waited for longer than a refusal is of use is served rather late than not.
     let longest = (request.request.arrived + MAX_HOLD).min(request.deadline);
     let give_up = if is_held_longer { longest } else { give_up };
     let is_overdue = gateway.is_overdue(&request.service);
-    let is_hopeless = reason.is_hopeless(is_overdue, give_up, now)
-        && !waits_for_rest(request, reason, give_up, now);
+    let is_wait_futile = reason.is_wait_futile(is_overdue, give_up, now)
+        && !waits_for_delay(request, reason, give_up, now);
 
-    (now < give_up && !is_hopeless).then_some(give_up)
+    (now < give_up && !is_wait_futile).then_some(give_up)
 }
 
 /// Tells whether a request waits until a target has rested: a stream that its caller has a part of would be cut.
-fn waits_for_rest(request: &RoutedRequest, reason: NoPlace, give_up: Moment, now: Moment) -> bool {
+fn waits_for_delay(request: &RoutedRequest, reason: NoSlot, give_up: Moment, now: Moment) -> bool {
     let has_begun = request.last_event_id.get().is_some();
 
-    has_begun && matches!(reason, NoPlace::Resting(left) if now + left <= give_up)
+    has_begun && matches!(reason, NoSlot::DelayRequested(left) if now + left <= give_up)
 }
 
 /// Gets how long a request is held at least, for the reason that there is no place.
-fn least_hold(gateway: &Gateway, reason: NoPlace, request: &RoutedRequest, now: Moment) -> Moment {
+fn min_hold_until(
+    gateway: &Gateway,
+    reason: NoSlot,
+    request: &RoutedRequest,
+    now: Moment,
+) -> Moment {
     // A caller whose stream broke has come back once already, and would lose what it has.
-    let limit = if request.request.resumes(&gateway.names) { MAX_HOLD } else { HOLD_LIMIT };
+    let limit = if request.request.is_resume(&gateway.names) { MAX_HOLD } else { HOLD_LIMIT };
 
     match reason {
-        NoPlace::Out(left) | NoPlace::Paced(left)
+        NoSlot::Out(left) | NoSlot::PromptLimited(left)
             if left <= limit && gateway.uses(Mechanism::Hold) =>
         {
             (now + left + HOLD_MARGIN).min(request.request.arrived + MAX_HOLD).min(request.deadline)
--- a/grebedeck/src/gateway/opened.rs
+++ b/grebedeck/src/gateway/opened.rs
@@ -15,7 +15,7 @@
 use super::tried::FailureCause;
 
 /// A request that was sent to a target.
-pub struct Sent<'a> {
+pub struct SentRequest<'a> {
     /// The request.
     pub request: &'a RoutedRequest,
     /// The target.
@@ -25,25 +25,25 @@
 }
 
 /// An answer whose head is here.
-pub struct Opened<'a> {
+pub struct OpenAnswer<'a> {
     /// The head.
     pub head: ResponseHead,
     /// What it says.
     pub verdict: Verdict,
     pub(super) connection: Connection,
     pub(super) decoder: BodyDecoder,
-    pub(super) sent: Sent<'a>,
+    pub(super) sent: SentRequest<'a>,
     pub(super) in_flight: InFlight,
     pub(super) gateway: Rc<Gateway>,
 }
 
-impl Opened<'_> {
+impl OpenAnswer<'_> {
     /// Reads the next part of the body, or `None` at its end.
     pub async fn next_part(&mut self) -> Result<Option<bytes::Bytes>, HttpError> {
         self.connection.read_body(&mut self.decoder).await
     }
 
-    async fn next_part_of_whole(&mut self) -> Result<Option<bytes::Bytes>, FailureCause> {
+    async fn next_body_part(&mut self) -> Result<Option<bytes::Bytes>, FailureCause> {
         let next = self.next_part().await;
 
         next.map_err(|_| {
@@ -63,26 +63,26 @@
             return Err(FailureCause::NoMemory);
         }
 
-        while let Some(part) = self.next_part_of_whole().await? {
+        while let Some(part) = self.next_body_part().await? {
             if body.len() + part.len() > MAX_WHOLE_BYTES {
                 return Err(FailureCause::Broken);
             }
 
-            if !body.push(&part) && !body.push_later(&part, MEMORY_WAIT).await {
+            if !body.push(&part) && !body.push_with_wait(&part, MEMORY_WAIT).await {
                 return Err(FailureCause::NoMemory);
             }
         }
 
         let head = self.head.clone();
-        let is_well = self.verdict != Verdict::Failure;
-        self.finish(is_well);
+        let is_success = self.verdict != Verdict::Failure;
+        self.finish(is_success);
 
         Ok((head, body))
     }
 
     /// Ends an attempt whose body has been read to its end.
-    pub fn finish(mut self, is_well: bool) {
-        self.in_flight.judge(is_well);
+    pub fn finish(mut self, is_success: bool) {
+        self.in_flight.record_success(is_success);
         self.connection.end_exchange();
 
         // An answer that ends with its connection ends alike where its target crashes.
@@ -95,19 +95,19 @@
 
         if !self.gateway.is_earlier_start(target) {
             let now = self.gateway.now();
-            let max_kept = self.gateway.max_kept(&target.service);
-            self.gateway.pool.put(target, self.connection, &self.head, max_kept, now);
+            let max_idle = self.gateway.max_kept(&target.service);
+            self.gateway.pool.put(target, self.connection, &self.head, max_idle, now);
         }
     }
 
     /// Ends an attempt whose answer broke.
-    pub fn broken(mut self) {
-        self.in_flight.judge(false);
+    pub fn record_broken(mut self) {
+        self.in_flight.record_success(false);
         self.note_broken();
     }
 
     fn note_broken(&self) {
-        let Sent { request, target, sent_at } = &self.sent;
+        let SentRequest { request, target, sent_at } = &self.sent;
 
         self.gateway.note_broken(request, target, *sent_at);
     }
--- a/grebedeck/src/gateway/pace.rs
+++ b/grebedeck/src/gateway/pace.rs
@@ -13,12 +13,12 @@
 
 impl Gateway {
     /// Gets the mean pause between the events of a service's streams, where it was seen lately.
-    pub fn pause(&self, service: &str) -> Option<Duration> {
+    pub fn mean_pause(&self, service: &str) -> Option<Duration> {
         self.paces.borrow().get(service)?.pause(self.now())
     }
 
     /// Notes the pause between two events of one stream.
-    pub fn note_pause(&self, service: &str, pause: Duration, rule: &RouteRule) {
+    pub fn record_pause(&self, service: &str, pause: Duration, rule: &RouteRule) {
         let Some(limit) = rule.pause_limit else {
             return;
         };
@@ -71,7 +71,7 @@
 
     /// Gets the time after which so many of the requests that run will have ended that the service's
     /// targets have room again.
-    pub fn time_to_place(&self, service: &str) -> Duration {
+    pub fn expected_slot_wait(&self, service: &str) -> Duration {
         let now = self.now();
         let targets = self.bearing(&self.candidates(service), now);
         let allowed = self.allowed_load(service, &targets, now);
@@ -79,23 +79,29 @@
         // Where the mean is low enough, the next request that ends makes room.
         let over = (1.0 - allowed / load.max(1e-3)).max(1.0 / targets.len().max(1) as f64);
 
-        self.usual_time(service).mul_f64(over.min(1.0))
+        self.usual_duration(service).mul_f64(over.min(1.0))
     }
 
     /// Gets when a request that was refused should come back, where its service's places are given by urgency.
-    pub fn return_slot(&self, request: &RoutedRequest, first: Duration) -> Option<Duration> {
+    pub fn scheduled_return(&self, request: &RoutedRequest, first: Duration) -> Option<Duration> {
         let now = self.now();
         let left = request.deadline.saturating_sub(now);
 
-        self.waiting.return_time(&request.service, request.admitted.urgency(), first, left, now)
+        self.waiting.scheduled_return(
+            &request.service,
+            request.admitted.urgency(),
+            first,
+            left,
+            now,
+        )
     }
 
     /// Gets the time that a request of a service usually takes.
-    fn usual_time(&self, service: &str) -> Duration {
+    fn usual_duration(&self, service: &str) -> Duration {
         let table = self.table();
         let engine = table.service(service).and_then(|s| s.engine.as_ref());
 
-        match (engine.and_then(EngineSpec::usual_passes), self.pause(service)) {
+        match (engine.and_then(EngineSpec::usual_passes), self.mean_pause(service)) {
             (Some(passes), Some(pause)) => pause.mul_f64(passes),
             _ => self.usual_answer_time(service).unwrap_or(UNKNOWN_ANSWER_TIME),
         }
--- a/grebedeck/src/gateway/pool.rs
+++ b/grebedeck/src/gateway/pool.rs
@@ -12,12 +12,12 @@
 
 /// How long a connection may rest where the target does not say: long enough for a quiet service's
 /// next request, short enough that most targets still have it.
-const DEFAULT_REST: Duration = Duration::from_secs(4);
+const DEFAULT_IDLE_LIMIT: Duration = Duration::from_secs(4);
 /// Part of the time that a target promises to keep a connection which is made use of; near its end a
 /// request and the target's close may cross.
-const SAFE_REST_PART: f64 = 0.6;
+const SAFE_KEEP_ALIVE_SHARE: f64 = 0.6;
 /// Most connections kept to one target: about as many as it works on at once.
-pub const MAX_KEPT: usize = 16;
+pub const MAX_IDLE_PER_TARGET: usize = 16;
 
 /// Connections are kept for one start of a target: what an earlier one left open is no way to the next.
 type Key = (SocketAddr, StartId);
@@ -29,11 +29,11 @@
 
 /// Connections that carry no request just now.
 #[derive(Default)]
-pub struct Pool {
+pub struct ConnectionPool {
     kept: RefCell<HashMap<Key, Vec<Buffer>>>,
 }
 
-impl Pool {
+impl ConnectionPool {
     /// Takes a connection that is open, and on which nothing came that nobody asked for.
     pub fn take(&self, target: &TargetEntry, now: Moment) -> Option<Connection> {
         let mut all = self.kept.borrow_mut();
@@ -54,14 +54,14 @@
         target: &TargetEntry,
         connection: Connection,
         head: &ResponseHead,
-        max_kept: usize,
+        max_idle: usize,
         now: Moment,
     ) {
         if !head.keeps_alive() {
             return;
         }
 
-        self.keep(target, connection, max_kept, now + rest_limit(head));
+        self.keep(target, connection, max_idle, now + idle_limit_of(head));
     }
 
     /// Keeps a connection that has carried no request yet, if fewer than `max_kept` are.
@@ -69,23 +69,23 @@
         &self,
         target: &TargetEntry,
         connection: Connection,
-        max_kept: usize,
+        max_idle: usize,
         now: Moment,
     ) {
-        self.keep(target, connection, max_kept, now + DEFAULT_REST);
+        self.keep(target, connection, max_idle, now + DEFAULT_IDLE_LIMIT);
     }
 
-    fn keep(&self, target: &TargetEntry, connection: Connection, max_kept: usize, until: Moment) {
+    fn keep(&self, target: &TargetEntry, connection: Connection, max_idle: usize, until: Moment) {
         let mut all = self.kept.borrow_mut();
         let kept = all.entry((target.address, target.born_ms)).or_default();
 
-        if kept.len() < max_kept {
+        if kept.len() < max_idle {
             kept.push(Buffer { connection, until });
         }
     }
 
     /// Closes connections to other starts at a target's address, which take places among those that it accepts.
-    pub fn drop_other_starts(&self, target: &TargetEntry) {
+    pub fn close_other_starts(&self, target: &TargetEntry) {
         let is_other =
             |(address, birth): &Key| *address == target.address && *birth != target.born_ms;
 
@@ -93,7 +93,7 @@
     }
 
     /// Closes connections that have rested for too long.
-    pub fn drop_rested(&self, now: Moment) {
+    pub fn close_expired(&self, now: Moment) {
         self.kept.borrow_mut().retain(|_, kept| {
             kept.retain(|k| k.until > now);
             !kept.is_empty()
@@ -102,10 +102,10 @@
 }
 
 /// Gets how long a connection may rest after an answer.
-fn rest_limit(head: &ResponseHead) -> Duration {
+fn idle_limit_of(head: &ResponseHead) -> Duration {
     let text = head.headers.text("keep-alive").unwrap_or_default();
     let timeout = text.split(',').find_map(|part| part.trim().strip_prefix("timeout="));
     let seconds: Option<u64> = timeout.and_then(|t| t.trim().parse().ok());
 
-    seconds.map_or(DEFAULT_REST, |s| Duration::from_secs(s).mul_f64(SAFE_REST_PART))
+    seconds.map_or(DEFAULT_IDLE_LIMIT, |s| Duration::from_secs(s).mul_f64(SAFE_KEEP_ALIVE_SHARE))
 }
--- a/grebedeck/src/gateway/prompts.rs
+++ b/grebedeck/src/gateway/prompts.rs
@@ -27,7 +27,7 @@
 
     /// Gets this gateway's share of the requests for the targets that it deals with: what it has in flight itself, and
     /// at least an equal part of what the gateways have that deal with a target.
-    fn share(&self, service: &str, targets: &[Arc<TargetEntry>], now: Moment) -> f64 {
+    fn gateway_share(&self, service: &str, targets: &[Arc<TargetEntry>], now: Moment) -> f64 {
         let chooser = self.chooser.borrow();
         let serving = self.serving(service).map_or(0, |all| all.len());
         let own: f64 = targets.iter().map(|t| f64::from(chooser.own_in_flight(&t.id))).sum();
@@ -39,7 +39,7 @@
     }
 
     /// Notes that a request's prompt goes to its service's group.
-    pub fn take_prompt(&self, request: &RoutedRequest, now: Moment) {
+    pub fn record_prompt(&self, request: &RoutedRequest, now: Moment) {
         let table = self.table();
         let service = &request.service;
         let Some(engine) = table.service(service).and_then(|s| s.engine.as_ref()) else {
@@ -47,7 +47,7 @@
         };
         let targets = self.without_cold(&self.candidates(service), now);
         let all_tokens_per_s = targets.len() as f64 * engine.read_tokens_per_s * PROMPT_PART;
-        let tokens_per_s = all_tokens_per_s * self.share(service, &targets, now);
+        let tokens_per_s = all_tokens_per_s * self.gateway_share(service, &targets, now);
         let tokens = request.request.prompt_tokens(&self.names).unwrap_or(engine.usual_prompt);
         let mut prompts = self.prompts.borrow_mut();
         let first = PromptLimiter::new(tokens_per_s, PROMPT_BURST);
--- a/grebedeck/src/gateway/request.rs
+++ b/grebedeck/src/gateway/request.rs
@@ -13,7 +13,7 @@
 use super::trace::{Decision, Trace};
 
 /// The least urgent rank that is told to targets: they know ten.
-const LEAST_RANK: u8 = 9;
+const LOWEST_PRIORITY: u8 = 9;
 
 /// A caller's request.
 pub struct CallerRequest {
@@ -61,7 +61,7 @@
     }
 
     /// Tells whether it goes on with a stream that broke.
-    pub fn resumes(&self, names: &HeaderNames) -> bool {
+    pub fn is_resume(&self, names: &HeaderNames) -> bool {
         self.head.headers.get(names.last_event_id).is_some()
     }
 
@@ -73,7 +73,7 @@
     }
 
     /// Gets how long the caller waits, if it says so.
-    pub fn patience(&self, names: &HeaderNames) -> Option<Duration> {
+    pub fn requested_timeout(&self, names: &HeaderNames) -> Option<Duration> {
         let text = self.head.headers.text(names.deadline_ms)?;
 
         text.parse().ok().map(Duration::from_millis)
@@ -90,9 +90,9 @@
         names: &HeaderNames,
     ) -> Self {
         let limit = admitted.rule.time_limit;
-        let patience = request.patience(names).unwrap_or(limit).min(limit);
+        let patience = request.requested_timeout(names).unwrap_or(limit).min(limit);
         let deadline = request.arrived + patience;
-        let headers = passed_on(&request, &admitted, names);
+        let headers = forwarded_headers(&request, &admitted, names);
         let trace = Trace::new(request.id(names), request.arrived);
         let decision = Decision::Admitted {
             route: admitted.rule.name.clone(),
@@ -132,7 +132,7 @@
     }
 
     /// Tells whether the time of the request is over.
-    pub fn is_late(&self, now: Moment) -> bool {
+    pub fn is_past_deadline(&self, now: Moment) -> bool {
         now >= self.deadline
     }
 
@@ -145,7 +145,7 @@
 
         // Those that wait at the target are let in by it, as those who wait here are.
         if let Some(rank) = self.rank {
-            headers.push(names.priority, rank.min(LEAST_RANK).to_string());
+            headers.push(names.priority, rank.min(LOWEST_PRIORITY).to_string());
         }
 
         if let Some(id) = self.last_event_id.get() {
@@ -166,7 +166,7 @@
 }
 
 /// Gets the headers that go to every target: the caller's own, without those that this process sets.
-fn passed_on(request: &CallerRequest, admitted: &Admitted, names: &HeaderNames) -> Headers {
+fn forwarded_headers(request: &CallerRequest, admitted: &Admitted, names: &HeaderNames) -> Headers {
     let received = &request.head.headers;
     let mut headers = received.end_to_end();
     // A body that came in chunks is sent whole, so its length is always known.
--- a/grebedeck/src/gateway/service.rs
+++ b/grebedeck/src/gateway/service.rs
@@ -27,7 +27,7 @@
 use super::limits::LimitState;
 use super::mechanism::Mechanism;
 use super::options::{GatewaySettings, MIN_ATTEMPT};
-use super::pool::Pool;
+use super::pool::ConnectionPool;
 use super::quota::QuotaState;
 use super::refusing::REFUSING_LINES_PER_S;
 use super::relay::RelayState;
@@ -35,9 +35,9 @@
 use super::starts::ENTRY_LINES_PER_S;
 use super::stop::StopState;
 use super::suspects::SUSPECT_LINES_PER_S;
-use super::trace::{Decision, End, TRACES_PER_S, Trace};
-use super::tried::Tried;
-use super::waiting::Waiting;
+use super::trace::{Decision, Outcome, TRACES_PER_S, Trace};
+use super::tried::AttemptHistory;
+use super::waiting::WaitQueues;
 
 /// A gateway.
 pub struct Gateway {
@@ -52,7 +52,7 @@
     /// Runs its tasks.
     pub tasks: Tasks,
     /// Buffer connections to targets.
-    pub pool: Pool,
+    pub pool: ConnectionPool,
     /// Memory for callers' bodies.
     pub bodies: Rc<SharedMemory>,
     /// Memory for targets' answers.
@@ -107,7 +107,7 @@
     /// Lines on targets that crash.
     pub(super) suspect_lines: RefCell<LineBudget>,
     /// Requests that wait for a place.
-    pub waiting: Waiting,
+    pub waiting: WaitQueues,
 }
 
 impl Gateway {
@@ -128,7 +128,7 @@
             traces: RefCell::new(LineBudget::new(TRACES_PER_S)),
             names,
             tasks,
-            pool: Pool::default(),
+            pool: ConnectionPool::default(),
             stop: StopState::default(),
             freed: Event::new(),
             clock: Clock::default(),
@@ -156,7 +156,7 @@
             suspects_changed: Event::new(),
             suspects_news: Event::new(),
             suspect_lines: RefCell::new(LineBudget::new(SUSPECT_LINES_PER_S)),
-            waiting: Waiting::default(),
+            waiting: WaitQueues::default(),
         };
         gateway.count_gateways();
         gateway.set_evacuation_bound();
@@ -184,7 +184,7 @@
         }
 
         let table = RouteTable::new(site);
-        self.waiting.take_table(&table, self.uses(Mechanism::UrgencyOrder));
+        self.waiting.apply_table(&table, self.uses(Mechanism::UrgencyOrder));
         *self.table.borrow_mut() = Rc::new(table);
         *self.site.borrow_mut() = Some(site.clone());
         let services = site.services.iter().map(|service| service.name.clone()).collect();
@@ -312,7 +312,7 @@
     }
 
     /// Tells whether a request may be sent to another target, and takes the repeat for it.
-    pub fn may_send_again(&self, request: &RoutedRequest, tried: &Tried) -> bool {
+    pub fn may_send_again(&self, request: &RoutedRequest, tried: &AttemptHistory) -> bool {
         let rule = &request.admitted.rule;
         let now = self.now();
         let refused = if !answer::may_retry(rule.kind, tried.run_state()) {
@@ -330,7 +330,7 @@
         self.counters.repeats.add(refused.unwrap_or("allowed"));
 
         if let Some(reason) = refused {
-            request.trace.add(now, Decision::NotRepeated { reason });
+            request.trace.add(now, Decision::NotRetried { reason });
         }
 
         refused.is_none()
@@ -367,7 +367,7 @@
     }
 
     /// Counts how a request ended, and logs its trace if it is of interest.
-    pub fn note_end(&self, trace: &Trace, end: End, is_late: bool) {
+    pub fn note_end(&self, trace: &Trace, end: Outcome, is_late: bool) {
         let now = self.now();
         self.counters.requests.add(if is_late && end.word() == "served" {
             "served_late"
@@ -375,7 +375,7 @@
             end.word()
         });
 
-        if !trace.is_wanted(end, is_late) {
+        if !trace.should_log(end, is_late) {
             return;
         }
 
--- a/grebedeck/src/gateway/starts.rs
+++ b/grebedeck/src/gateway/starts.rs
@@ -26,7 +26,7 @@
         self.chooser.borrow_mut().record_listing(&entry.id, entry.born_ms, entry.slots);
         self.groups.borrow_mut().remove(&entry.id);
         self.refusals.borrow_mut().record_restart(&entry.id);
-        self.pool.drop_other_starts(entry);
+        self.pool.close_other_starts(entry);
     }
 
     /// Tells of an entry that cannot be read.
--- a/grebedeck/src/gateway/stream.rs
+++ b/grebedeck/src/gateway/stream.rs
@@ -16,26 +16,26 @@
 
 use super::attempt;
 use super::buffer::Buffer;
-use super::caller::{After, write_whole};
-use super::opened::Opened;
+use super::caller::{Reuse, write_buffered};
+use super::opened::OpenAnswer;
 use super::options::{MAX_EVENT_BYTES, READ_AHEAD_BYTES};
-use super::place::{self, NoPlace};
+use super::place::{self, NoSlot};
 use super::request::RoutedRequest;
 use super::service::Gateway;
-use super::tempo::Tempo;
-use super::trace::{Decision, End};
-use super::tried::Tried;
-use super::whole::WholeAnswer;
-use super::writer::{self, Written};
+use super::tempo::EventTiming;
+use super::trace::{Decision, Outcome};
+use super::tried::AttemptHistory;
+use super::whole::BufferedAnswer;
+use super::writer::{self, WriteOutcome};
 
 /// How long a caller may hold a target up before a break is taken to be the caller's fault: targets cut off what
 /// stays unread for some seconds, and no write to a caller that reads takes as long.
-const HELD_UP: Duration = Duration::from_millis(500);
+const BLOCKED_WRITE: Duration = Duration::from_millis(500);
 
 /// How one target's part of a stream ended.
-enum Part {
+enum PartEnd {
     /// The stream is whole; its status.
-    Whole(u16),
+    Complete(u16),
     /// The target broke off.
     Broken,
     /// The stream goes on at another target, as this one is slow.
@@ -49,20 +49,20 @@
 }
 
 /// A stream on its way to a caller.
-struct Relay<'a> {
+struct StreamRelay<'a> {
     gateway: &'a Rc<Gateway>,
     request: &'a Rc<RoutedRequest>,
     connection: &'a mut Connection,
-    after: After,
+    reuse: Reuse,
     head_sent: bool,
-    tried: Tried,
+    tried: AttemptHistory,
     /// Whether it was found that the stream cannot go on elsewhere, so that it is not asked at each event.
-    stays: bool,
+    is_pinned: bool,
     /// When the request got its newest place.
     placed_at: Option<Moment>,
-    tempo: Tempo,
+    timing: EventTiming,
     /// Whether the caller held its target up with what was written last.
-    held_up: bool,
+    write_blocked: bool,
 }
 
 /// Serves a request; the answer is written to the caller as it comes.
@@ -70,38 +70,38 @@
     gateway: &Rc<Gateway>,
     request: &Rc<RoutedRequest>,
     connection: &mut Connection,
-    after: After,
-) -> After {
+    reuse: Reuse,
+) -> Reuse {
     gateway.earn_repeat(&request.service);
-    let mut relay = Relay {
+    let mut relay = StreamRelay {
         gateway,
         request,
         connection,
-        after,
+        reuse,
         head_sent: false,
-        tried: Tried::default(),
-        stays: false,
+        tried: AttemptHistory::default(),
+        is_pinned: false,
         placed_at: None,
-        tempo: Tempo::default(),
-        held_up: false,
+        timing: EventTiming::default(),
+        write_blocked: false,
     };
-    let (end, after) = relay.run().await;
-    let is_late = relay.tempo.is_late;
+    let (end, reuse) = relay.run().await;
+    let is_late = relay.timing.is_late;
 
     if is_late {
-        request.trace.add(gateway.now(), relay.tempo.decision(request.request.arrived));
+        request.trace.add(gateway.now(), relay.timing.decision(request.request.arrived));
     }
 
     gateway.note_end(&request.trace, end, is_late);
 
-    after
+    reuse
 }
 
-impl Relay<'_> {
-    async fn run(&mut self) -> (End, After) {
+impl StreamRelay<'_> {
+    async fn run(&mut self) -> (Outcome, Reuse) {
         loop {
             let found = {
-                let finding = place::find(self.gateway, self.request, self.tried.targets());
+                let finding = place::acquire(self.gateway, self.request, self.tried.targets());
                 futures::select! {
                     found = finding.fuse() => Some(found),
                     () = self.connection.closed(READ_AHEAD_BYTES).fuse() => None,
@@ -110,11 +110,11 @@
             let place = match found {
                 Some(Ok(place)) => place,
                 Some(Err(reason)) => return self.give_up(Some(reason)).await,
-                None => return (End::CallerGone, After::Close),
+                None => return (Outcome::CallerGone, Reuse::Close),
             };
 
             let target = place.target.clone();
-            self.tried.begin(&target);
+            self.tried.record_start(&target);
             self.placed_at = Some(self.gateway.now());
             let opened = {
                 let opening = attempt::open(self.gateway, self.request, place);
@@ -125,21 +125,23 @@
             };
 
             match opened {
-                None => return (End::CallerGone, After::Close),
+                None => return (Outcome::CallerGone, Reuse::Close),
                 Some(Ok(opened)) if opened.head.is_success() => {
-                    match self.pass_on(opened, &target).await {
-                        Part::Whole(status) => return (End::Answered(status), self.after),
-                        Part::Broken => {}
-                        Part::Moved => continue,
-                        Part::CallerGone => return (End::CallerGone, After::Close),
-                        Part::CallerStalled => return (End::CallerStalled, After::Close),
-                        Part::TimedOut => return self.give_up(None).await,
+                    match self.forward(opened, &target).await {
+                        PartEnd::Complete(status) => {
+                            return (Outcome::Answered(status), self.reuse);
+                        }
+                        PartEnd::Broken => {}
+                        PartEnd::Moved => continue,
+                        PartEnd::CallerGone => return (Outcome::CallerGone, Reuse::Close),
+                        PartEnd::CallerStalled => return (Outcome::CallerStalled, Reuse::Close),
+                        PartEnd::TimedOut => return self.give_up(None).await,
                     }
                 }
-                Some(Ok(opened)) if !self.head_sent => return self.pass_failure(opened).await,
-                Some(Ok(opened)) => opened.broken(),
+                Some(Ok(opened)) if !self.head_sent => return self.forward_failure(opened).await,
+                Some(Ok(opened)) => opened.record_broken(),
                 Some(Err(failure)) => {
-                    if !self.tried.failed(&failure) {
+                    if !self.tried.record_failure(&failure) {
                         continue;
                     }
                 }
@@ -152,7 +154,7 @@
     }
 
     /// Passes events on until this target's part ends.
-    async fn pass_on(&mut self, mut opened: Opened<'_>, target: &TargetEntry) -> Part {
+    async fn forward(&mut self, mut opened: OpenAnswer<'_>, target: &TargetEntry) -> PartEnd {
         let mut events = EventBuffer::default();
         let mut kept = Buffer::new(&self.gateway.answers);
 
@@ -162,27 +164,27 @@
                 let reading = timeout(left, opened.next_part());
                 futures::select! {
                     next = reading.fuse() => next,
-                    () = self.connection.closed(READ_AHEAD_BYTES).fuse() => return Part::CallerGone,
+                    () = self.connection.closed(READ_AHEAD_BYTES).fuse() => return PartEnd::CallerGone,
                 }
             };
 
             match next {
-                Err(_) => return Part::TimedOut,
+                Err(_) => return PartEnd::TimedOut,
                 Ok(Ok(Some(part))) => {
-                    let written = self.pass_part(&opened.head, &mut events, &part).await;
+                    let written = self.forward_part(&opened.head, &mut events, &part).await;
 
-                    if let Some(end) = self.after_write(written) {
+                    if let Some(end) = self.part_end_after_write(written) {
                         return end;
                     }
 
-                    if !kept.note_len(events.remainder().len())
+                    if !kept.set_external_len(events.remainder().len())
                         || events.remainder().len() > MAX_EVENT_BYTES
                     {
-                        return self.break_off(opened, target);
+                        return self.record_break(opened, target);
                     }
 
-                    if self.moves_from(target) {
-                        return Part::Moved;
+                    if self.try_move(target) {
+                        return PartEnd::Moved;
                     }
                 }
                 // An answer that ends within an event was cut, whatever its framing says.
@@ -193,75 +195,77 @@
                     return self.finish(&head, rest).await;
                 }
                 // A target that was held up by its caller has cut off what was not read.
-                Ok(Ok(None) | Err(_)) if self.held_up => {
-                    return self.note_stalled(Written::Stalled);
+                Ok(Ok(None) | Err(_)) if self.write_blocked => {
+                    return self.record_stalled(WriteOutcome::Stalled);
                 }
-                Ok(Ok(None) | Err(_)) => return self.break_off(opened, target),
+                Ok(Ok(None) | Err(_)) => return self.record_break(opened, target),
             }
         }
     }
 
-    fn break_off(&mut self, opened: Opened<'_>, target: &TargetEntry) -> Part {
-        opened.broken();
+    fn record_break(&mut self, opened: OpenAnswer<'_>, target: &TargetEntry) -> PartEnd {
+        opened.record_broken();
         let (target, last_event_id) = (target.id.clone(), self.request.last_event_id.get());
-        let decision = Decision::Broke { target, last_event_id };
+        let decision = Decision::StreamBroke { target, last_event_id };
         self.request.trace.add(self.gateway.now(), decision);
 
-        Part::Broken
+        PartEnd::Broken
     }
 
     /// Gets how a part ends whose caller did not take what was written.
-    fn after_write(&mut self, written: Written) -> Option<Part> {
+    fn part_end_after_write(&mut self, written: WriteOutcome) -> Option<PartEnd> {
         match written {
-            Written::Whole => None,
-            Written::Gone => Some(Part::CallerGone),
-            Written::Stalled | Written::TimedOut => Some(self.note_stalled(written)),
+            WriteOutcome::Complete => None,
+            WriteOutcome::Gone => Some(PartEnd::CallerGone),
+            WriteOutcome::Stalled | WriteOutcome::TimedOut => Some(self.record_stalled(written)),
         }
     }
 
-    fn note_stalled(&mut self, written: Written) -> Part {
+    fn record_stalled(&mut self, written: WriteOutcome) -> PartEnd {
         self.gateway.counters.unread.add("stream_stalled");
         let last_event_id = self.request.last_event_id.get();
-        self.request.trace.add(self.gateway.now(), Decision::Unread { written, last_event_id });
+        self.request
+            .trace
+            .add(self.gateway.now(), Decision::AnswerUnread { written, last_event_id });
 
-        Part::CallerStalled
+        PartEnd::CallerStalled
     }
 
     /// Tells whether the stream is to go on at another target; takes the repeat for it.
-    fn moves_from(&mut self, target: &TargetEntry) -> bool {
+    fn try_move(&mut self, target: &TargetEntry) -> bool {
         let Some(limit) = self.request.admitted.rule.pause_limit.filter(|_| self.is_resumable())
         else {
             return false;
         };
-        let wants_to = !self.stays
+        let wants_to = !self.is_pinned
             && self.gateway.should_leave(target, limit)
-            && place::has_place(self.gateway, self.request, self.tried.targets());
+            && place::has_free_slot(self.gateway, self.request, self.tried.targets());
 
         if !wants_to {
             return false;
         }
 
         if !self.gateway.may_send_again(self.request, &self.tried) {
-            self.stays = true;
+            self.is_pinned = true;
             return false;
         }
 
         let (target, last_event_id) = (target.id.clone(), self.request.last_event_id.get());
-        let decision = Decision::Moved { target, last_event_id };
+        let decision = Decision::StreamMoved { target, last_event_id };
         self.request.trace.add(self.gateway.now(), decision);
         self.gateway.counters.attempts.add("moved");
         true
     }
 
     /// Notes the time until the first event, or the pause since the one before.
-    fn note_event(&mut self) {
+    fn record_event(&mut self) {
         let now = self.gateway.now();
         let rule = &self.request.admitted.rule;
         let counters = &self.gateway.counters;
 
         let arrived = self.request.request.arrived;
 
-        match self.tempo.note_event(arrived, now) {
+        match self.timing.record_event(arrived, now) {
             None => {
                 let first = now - arrived;
                 counters.first_event_times.note(first, "stream");
@@ -270,13 +274,13 @@
                     self.gateway.note_answer_time(&self.request.service, now - placed_at);
                 }
 
-                self.tempo.is_late |= first > rule.objective;
+                self.timing.is_late |= first > rule.objective;
             }
             Some(pause) => {
                 counters.pauses.note(pause, "stream");
 
-                self.gateway.note_pause(&self.request.service, pause, rule);
-                self.tempo.is_late |= rule.pause_limit.is_some_and(|limit| pause > limit);
+                self.gateway.record_pause(&self.request.service, pause, rule);
+                self.timing.is_late |= rule.pause_limit.is_some_and(|limit| pause > limit);
             }
         }
     }
@@ -286,13 +290,13 @@
     }
 
     /// Passes the whole events on that a part completes; tells whether the caller takes them.
-    async fn pass_part(
+    async fn forward_part(
         &mut self,
         head: &ResponseHead,
         events: &mut EventBuffer,
         part: &[u8],
-    ) -> Written {
-        self.note_event();
+    ) -> WriteOutcome {
+        self.record_event();
 
         if !self.is_resumable() {
             return self.write_body(head, part).await;
@@ -313,23 +317,23 @@
         }
 
         if data.is_empty() {
-            return Written::Whole;
+            return WriteOutcome::Complete;
         }
 
         self.write_body(head, &data).await
     }
 
-    async fn finish(&mut self, head: &ResponseHead, rest: Bytes) -> Part {
+    async fn finish(&mut self, head: &ResponseHead, rest: Bytes) -> PartEnd {
         let mut bytes = self.head_bytes(head);
         write_chunk(&rest, &mut bytes);
         bytes.extend_from_slice(b"0\r\n\r\n");
 
         let written = self.write(&bytes).await;
 
-        self.after_write(written).unwrap_or(Part::Whole(head.status))
+        self.part_end_after_write(written).unwrap_or(PartEnd::Complete(head.status))
     }
 
-    async fn write_body(&mut self, head: &ResponseHead, data: &[u8]) -> Written {
+    async fn write_body(&mut self, head: &ResponseHead, data: &[u8]) -> WriteOutcome {
         let mut bytes = self.head_bytes(head);
         write_chunk(data, &mut bytes);
 
@@ -347,7 +351,7 @@
         let mut headers = head.headers.end_to_end();
         headers.push("transfer-encoding", "chunked");
 
-        if self.after == After::Close {
+        if self.reuse == Reuse::Close {
             headers.push("connection", "close");
         }
 
@@ -355,41 +359,42 @@
         bytes
     }
 
-    async fn write(&mut self, bytes: &[u8]) -> Written {
+    async fn write(&mut self, bytes: &[u8]) -> WriteOutcome {
         let began = self.gateway.now();
         let written =
             writer::write(self.gateway, self.connection, bytes, self.request.deadline).await;
-        self.held_up = self.gateway.now() - began >= HELD_UP;
+        self.write_blocked = self.gateway.now() - began >= BLOCKED_WRITE;
 
         written
     }
 
     /// Passes a target's own failure on.
-    async fn pass_failure(&mut self, opened: Opened<'_>) -> (End, After) {
+    async fn forward_failure(&mut self, opened: OpenAnswer<'_>) -> (Outcome, Reuse) {
         let left = self.request.deadline.saturating_sub(self.gateway.now());
 
         match timeout(left, opened.read_whole()).await {
-            Ok(Ok((head, body))) => self.answer(WholeAnswer::of_target(head, body)).await,
+            Ok(Ok((head, body))) => self.answer(BufferedAnswer::from_target(head, body)).await,
             Ok(Err(_)) | Err(_) => self.give_up(None).await,
         }
     }
 
-    async fn answer(&mut self, answer: WholeAnswer) -> (End, After) {
+    async fn answer(&mut self, answer: BufferedAnswer) -> (Outcome, Reuse) {
         let end = answer.end();
 
-        (end, write_whole(self.gateway, self.connection, answer, self.after).await)
+        (end, write_buffered(self.gateway, self.connection, answer, self.reuse).await)
     }
 
     /// Ends the request without an answer, or cuts the stream that has begun.
-    async fn give_up(&mut self, reason: Option<NoPlace>) -> (End, After) {
+    async fn give_up(&mut self, reason: Option<NoSlot>) -> (Outcome, Reuse) {
         if self.head_sent {
-            return (End::Cut, After::Close);
+            return (Outcome::Truncated, Reuse::Close);
         }
 
-        let is_late = self.request.is_late(self.gateway.now());
+        let is_late = self.request.is_past_deadline(self.gateway.now());
         let reason =
-            reason.unwrap_or_else(|| NoPlace::after_attempts(self.gateway, &self.request.service));
+            reason.unwrap_or_else(|| NoSlot::after_attempts(self.gateway, &self.request.service));
         let run = self.tried.run_state();
-        self.answer(WholeAnswer::given_up(run, is_late, reason, self.request, self.gateway)).await
+        self.answer(BufferedAnswer::given_up(run, is_late, reason, self.request, self.gateway))
+            .await
     }
 }
--- a/grebedeck/src/gateway/suspects.rs
+++ b/grebedeck/src/gateway/suspects.rs
@@ -20,7 +20,7 @@
 
 use super::handout;
 use super::options::CONNECT_LIMIT;
-use super::place::NoPlace;
+use super::place::NoSlot;
 use super::request::RoutedRequest;
 use super::service::Gateway;
 use super::trace::Decision;
@@ -37,13 +37,13 @@
 
 impl Gateway {
     /// Waits until it is known whether a request may be sent, which is at once but for those under crashes.
-    pub(super) async fn cleared(&self, request: &RoutedRequest) -> Result<(), NoPlace> {
+    pub(super) async fn cleared(&self, request: &RoutedRequest) -> Result<(), NoSlot> {
         loop {
             let changed = self.suspects_changed.listen();
 
             match self.clearance(request) {
                 Clearance::Allow | Clearance::Trial => return Ok(()),
-                Clearance::Refuse(left) => return Err(NoPlace::Quarantined(left)),
+                Clearance::Refuse(left) => return Err(NoSlot::Quarantined(left)),
                 Clearance::Wait(wait) => {
                     self.counters.quarantine.add("held");
                     // Whichever comes first, it is asked again.
@@ -246,7 +246,7 @@
             }
 
             if let Clearance::Refuse(left) = self.clearance(&request) {
-                let reason = NoPlace::Quarantined(left);
+                let reason = NoSlot::Quarantined(left);
                 handout::answer(self, &service, ticket, Err(reason), now);
             }
         }
--- a/grebedeck/src/gateway/tempo.rs
+++ b/grebedeck/src/gateway/tempo.rs
@@ -8,7 +8,7 @@
 
 /// How fast the events of a stream have come.
 #[derive(Default)]
-pub struct Tempo {
+pub struct EventTiming {
     first_event: Option<Duration>,
     event_at: Option<Moment>,
     longest_pause: Duration,
@@ -17,9 +17,9 @@
     pub is_late: bool,
 }
 
-impl Tempo {
+impl EventTiming {
     /// Takes in an event of a request that arrived then; gives the pause since the one before it.
-    pub fn note_event(&mut self, arrived: Moment, now: Moment) -> Option<Duration> {
+    pub fn record_event(&mut self, arrived: Moment, now: Moment) -> Option<Duration> {
         let Some(before) = self.event_at.replace(now) else {
             self.first_event = Some(now - arrived);
             return None;
@@ -36,7 +36,7 @@
 
     /// Gets what the trace of a late stream tells.
     pub fn decision(&self, arrived: Moment) -> Decision {
-        Decision::Slow {
+        Decision::StreamSlow {
             first_event: self.first_event.unwrap_or_default(),
             longest_pause: self.longest_pause,
             pause_ended: self.longest_pause_ended.map_or(Duration::ZERO, |at| at - arrived),
--- a/grebedeck/src/gateway/trace.rs
+++ b/grebedeck/src/gateway/trace.rs
@@ -15,9 +15,9 @@
 use grebedeck_routing::Fingerprint;
 use grebedeck_routing::fingerprint::to_hex;
 
-use super::place::NoPlace;
-use super::tried::Failure;
-use super::writer::Written;
+use super::place::NoSlot;
+use super::tried::AttemptFailure;
+use super::writer::WriteOutcome;
 use crate::random::ProcessRandom;
 
 /// One in so many requests that ended well is logged, as a sample of what is usual.
@@ -55,7 +55,7 @@
         /// Requests that it is expected to have.
         load: f64,
         /// Requests that it works on at the same time.
-        places: f64,
+        slots: f64,
         /// Age of what the target said of its load, if it did.
         load_age: Option<Duration>,
         /// Load that is allowed, in requests for each place.
@@ -64,16 +64,16 @@
         last_event_id: Option<u64>,
     },
     /// It got in line for a place.
-    InLine {
+    Queued {
         /// Its urgency.
         urgency: Urgency,
         /// Those who go before it, as far as that could be known.
         ahead: usize,
     },
     /// There was no place.
-    NoPlace {
+    NoSlot {
         /// Why.
-        reason: NoPlace,
+        reason: NoSlot,
         /// Mean load of the service's targets, in requests for each place.
         load: f64,
         /// Load that is allowed, in requests for each place.
@@ -86,11 +86,11 @@
         targets: usize,
     },
     /// An attempt failed.
-    Failed {
+    AttemptFailed {
         /// The target.
         target: String,
         /// What went wrong.
-        failure: Failure,
+        failure: AttemptFailure,
     },
     /// The target answered with its own failure.
     TargetFailed {
@@ -100,21 +100,21 @@
         status: u16,
     },
     /// A stream broke.
-    Broke {
+    StreamBroke {
         /// The target.
         target: String,
         /// The last event that the caller has.
         last_event_id: Option<u64>,
     },
     /// A stream goes on at another target, as this one is slow.
-    Moved {
+    StreamMoved {
         /// The target.
         target: String,
         /// The last event that the caller has.
         last_event_id: Option<u64>,
     },
     /// A stream came slower than its route wants.
-    Slow {
+    StreamSlow {
         /// Time until the first event.
         first_event: Duration,
         /// Longest pause between two events.
@@ -123,9 +123,9 @@
         pause_ended: Duration,
     },
     /// The caller takes nothing of what is written to it.
-    Unread {
+    AnswerUnread {
         /// How it ended.
-        written: Written,
+        written: WriteOutcome,
         /// The last event that the caller has.
         last_event_id: Option<u64>,
     },
@@ -139,7 +139,7 @@
         crashes: usize,
     },
     /// Another attempt was not made.
-    NotRepeated {
+    NotRetried {
         /// Why.
         reason: &'static str,
     },
@@ -147,43 +147,43 @@
 
 /// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum Outcome {
     /// The caller got a target's answer.
     Answered(u16),
     /// The caller got this process's own answer.
-    Own(u16),
+    Local(u16),
     /// The stream was cut.
-    Cut,
+    Truncated,
     /// The caller has gone.
     CallerGone,
     /// The caller takes nothing of its answer.
     CallerStalled,
 }
 
-impl End {
+impl Outcome {
     /// Gets a short word for logs and counters.
     pub fn word(self) -> &'static str {
         match self {
-            End::Answered(200..300) => "served",
-            End::Answered(_) => "target_failed",
-            End::Own(401 | 404) => "denied",
-            End::Own(503) => "refused",
-            End::Own(504) => "timed_out",
-            End::Own(_) => "failed",
-            End::Cut => "cut",
-            End::CallerGone => "caller_gone",
-            End::CallerStalled => "caller_stalled",
+            Outcome::Answered(200..300) => "served",
+            Outcome::Answered(_) => "target_failed",
+            Outcome::Local(401 | 404) => "denied",
+            Outcome::Local(503) => "refused",
+            Outcome::Local(504) => "timed_out",
+            Outcome::Local(_) => "failed",
+            Outcome::Truncated => "cut",
+            Outcome::CallerGone => "caller_gone",
+            Outcome::CallerStalled => "caller_stalled",
         }
     }
 
     fn is_bad(self) -> bool {
-        !matches!(self, End::Answered(200..300) | End::CallerGone)
+        !matches!(self, Outcome::Answered(200..300) | Outcome::CallerGone)
     }
 
     fn status(self) -> u16 {
         match self {
-            End::Answered(status) | End::Own(status) => status,
-            End::Cut | End::CallerGone | End::CallerStalled => 0,
+            Outcome::Answered(status) | Outcome::Local(status) => status,
+            Outcome::Truncated | Outcome::CallerGone | Outcome::CallerStalled => 0,
         }
     }
 }
@@ -191,14 +191,14 @@
 /// The decisions on one request.
 pub struct Trace {
     id: String,
-    began: Moment,
+    started_at: Moment,
     decisions: RefCell<Vec<(Moment, Decision)>>,
 }
 
 impl Trace {
     /// Begins a request's trace.
-    pub fn new(id: &str, began: Moment) -> Self {
-        Trace { id: id.to_string(), began, decisions: RefCell::default() }
+    pub fn new(id: &str, started_at: Moment) -> Self {
+        Trace { id: id.to_string(), started_at, decisions: RefCell::default() }
     }
 
     /// Adds a decision.
@@ -211,12 +211,12 @@
     }
 
     /// Tells whether the trace of a request that ended so is to be logged, if there is room.
-    pub fn is_wanted(&self, end: End, is_late: bool) -> bool {
+    pub fn should_log(&self, end: Outcome, is_late: bool) -> bool {
         end.is_bad() || is_late || ProcessRandom::default().below(SAMPLE_ONE_IN) == 0
     }
 
     /// Logs all decisions and the end.
-    pub fn log(&self, end: End, now: Moment) {
+    pub fn log(&self, end: Outcome, now: Moment) {
         for (at, decision) in self.decisions.borrow().iter() {
             self.log_decision(self.offset_ms(*at), decision);
         }
@@ -230,7 +230,7 @@
     }
 
     fn offset_ms(&self, at: Moment) -> u64 {
-        at.saturating_sub(self.began).as_millis() as u64
+        at.saturating_sub(self.started_at).as_millis() as u64
     }
 
     fn log_decision(&self, at_ms: u64, decision: &Decision) {
@@ -251,23 +251,23 @@
                     request, at_ms, reason = reason.label(), config_version = *version,
                 });
             }
-            Decision::Chosen { target, load, places, load_age, allowed, last_event_id } => {
+            Decision::Chosen { target, load, slots, load_age, allowed, last_event_id } => {
                 log::info!("target chosen", kv: {
                     request, at_ms,
                     target = target.as_str(),
                     load = *load,
-                    places = *places,
+                    places = *slots,
                     load_age_ms = optional_ms(*load_age),
                     allowed_load = rounded(*allowed),
                     last_event_id = optional(*last_event_id),
                 });
             }
-            Decision::InLine { urgency, ahead } => {
+            Decision::Queued { urgency, ahead } => {
                 log::info!("in line", kv: {
                     request, at_ms, urgency = urgency.1, key_urgency = urgency.0, ahead = *ahead,
                 });
             }
-            Decision::NoPlace { reason, load, allowed, pause, urgency, targets } => {
+            Decision::NoSlot { reason, load, allowed, pause, urgency, targets } => {
                 log::info!("no place", kv: {
                     request, at_ms,
                     reason = reason.word(),
@@ -279,7 +279,7 @@
                     targets = *targets,
                 });
             }
-            Decision::Failed { target, failure } => {
+            Decision::AttemptFailed { target, failure } => {
                 let refusal = failure.refusal;
                 log::info!("attempt failed", kv: {
                     request, at_ms,
@@ -295,21 +295,21 @@
                     request, at_ms, target = target.as_str(), status = *status,
                 });
             }
-            Decision::Broke { target, last_event_id } => {
+            Decision::StreamBroke { target, last_event_id } => {
                 log::info!("stream broke", kv: {
                     request, at_ms,
                     target = target.as_str(),
                     last_event_id = optional(*last_event_id),
                 });
             }
-            Decision::Moved { target, last_event_id } => {
+            Decision::StreamMoved { target, last_event_id } => {
                 log::info!("stream moved", kv: {
                     request, at_ms,
                     target = target.as_str(),
                     last_event_id = optional(*last_event_id),
                 });
             }
-            Decision::Slow { first_event, longest_pause, pause_ended } => {
+            Decision::StreamSlow { first_event, longest_pause, pause_ended } => {
                 log::info!("stream slow", kv: {
                     request, at_ms,
                     first_event_ms = first_event.as_millis() as u64,
@@ -317,7 +317,7 @@
                     pause_ended_ms = pause_ended.as_millis() as u64,
                 });
             }
-            Decision::Unread { written, last_event_id } => {
+            Decision::AnswerUnread { written, last_event_id } => {
                 log::info!("answer unread", kv: {
                     request, at_ms,
                     why = written.word(),
@@ -332,7 +332,7 @@
                     crashes = *crashes,
                 });
             }
-            Decision::NotRepeated { reason } => {
+            Decision::NotRetried { reason } => {
                 log::info!("not repeated", kv: { request, at_ms, reason = *reason });
             }
         }
--- a/grebedeck/src/gateway/tried.rs
+++ b/grebedeck/src/gateway/tried.rs
@@ -6,7 +6,7 @@
 
 /// Why an attempt has no answer.
 #[derive(Clone, Copy, Debug)]
-pub struct Failure {
+pub struct AttemptFailure {
     /// Whether the request may have run.
     pub run: RunState,
     /// What went wrong.
@@ -64,42 +64,42 @@
     }
 }
 
-impl Failure {
+impl AttemptFailure {
     /// Makes the failure of an attempt that did not run.
     pub fn not_run(cause: FailureCause) -> Self {
-        Failure { run: RunState::NotRun, cause, refusal: None }
+        AttemptFailure { run: RunState::NotRun, cause, refusal: None }
     }
 
     /// Makes the failure of an attempt that the target refused.
     pub fn refused(cause: FailureCause, refusal: Refusal) -> Self {
-        Failure { refusal: Some(refusal), ..Failure::not_run(cause) }
+        AttemptFailure { refusal: Some(refusal), ..AttemptFailure::not_run(cause) }
     }
 
     /// Makes the failure of an attempt that may have run.
     pub fn may_have_run(cause: FailureCause) -> Self {
-        Failure { run: RunState::MayHaveRun, cause, refusal: None }
+        AttemptFailure { run: RunState::MayHaveRun, cause, refusal: None }
     }
 }
 
 /// The targets that a request was sent to, and whether one of them may have run it.
 #[derive(Default)]
-pub struct Tried {
+pub struct AttemptHistory {
     targets: Vec<TargetId>,
     may_have_run: bool,
     may_have_run_before: bool,
 }
 
-impl Tried {
+impl AttemptHistory {
     /// Notes that the request is sent to a target. From here on it may run there, also if the task that
     /// sends it is dropped.
-    pub fn begin(&mut self, target: &TargetEntry) {
+    pub fn record_start(&mut self, target: &TargetEntry) {
         self.targets.push(target.id.clone());
         self.may_have_run_before = std::mem::replace(&mut self.may_have_run, true);
     }
 
     /// Notes how the attempt that began last failed; tells whether it counts as one. Where nothing was sent the request
     /// looks for another place without a repeat.
-    pub fn failed(&mut self, failure: &Failure) -> bool {
+    pub fn record_failure(&mut self, failure: &AttemptFailure) -> bool {
         self.may_have_run = self.may_have_run_before || failure.run == RunState::MayHaveRun;
         let is_sent = failure.cause != FailureCause::Withdrawn;
 
--- a/grebedeck/src/gateway/waiting.rs
+++ b/grebedeck/src/gateway/waiting.rs
@@ -14,69 +14,69 @@
 use grebedeck_gateway::{EngineSpec, RouteTable, TargetId};
 use serde_json::json;
 
-use super::place::{NoPlace, Place};
+use super::place::{NoSlot, Slot};
 use super::request::RoutedRequest;
 use super::service::Gateway;
 use crate::random::ProcessRandom;
 
 /// One that waits.
-pub(super) struct Seeker {
+pub(super) struct QueuedRequest {
     /// Its request.
     pub request: Rc<RoutedRequest>,
     /// Targets that it was sent to.
     pub tried: Vec<TargetId>,
     /// Where its answer goes.
-    pub answer: oneshot::Sender<Result<Place, NoPlace>>,
+    pub reply: oneshot::Sender<Result<Slot, NoSlot>>,
 }
 
 /// What those who wait for a service wait for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Obstacle {
     /// Why there is no place.
-    pub reason: NoPlace,
+    pub reason: NoSlot,
     /// Whether the service has been out for longer than expected.
     pub is_overdue: bool,
 }
 
 /// Those who wait for one service.
-pub(super) struct Line {
+pub(super) struct QueueState {
     /// Them, in order.
-    pub queue: Queue<Seeker>,
+    pub queue: Queue<QueuedRequest>,
     /// When those who are refused come back.
     pub returns: Returns,
     /// Whether a task hands places out.
-    pub is_served: bool,
+    pub has_task: bool,
     /// What they wait for.
     pub obstacle: Obstacle,
 }
 
 /// Those who wait at a gateway, by service.
 #[derive(Default)]
-pub struct Waiting {
-    lines: RefCell<HashMap<ServiceName, Line>>,
+pub struct WaitQueues {
+    lines: RefCell<HashMap<ServiceName, QueueState>>,
 }
 
 /// A request in line; it leaves when this is dropped.
-pub struct InLine {
+pub struct QueueEntry {
     pub(super) gateway: Rc<Gateway>,
     pub(super) service: ServiceName,
     pub(super) ticket: Ticket,
-    pub(super) answer: oneshot::Receiver<Result<Place, NoPlace>>,
+    pub(super) reply: oneshot::Receiver<Result<Slot, NoSlot>>,
 }
 
-impl InLine {
+impl QueueEntry {
     /// Waits for the place, or for the reason why there is none.
-    pub async fn answer(mut self) -> Result<Place, NoPlace> {
+    pub async fn wait(mut self) -> Result<Slot, NoSlot> {
         // Who waits is answered before it is dropped; otherwise its service is gone.
-        (&mut self.answer).await.unwrap_or(Err(NoPlace::NoTargets))
+        (&mut self.reply).await.unwrap_or(Err(NoSlot::NoTargets))
     }
 }
 
-impl Drop for InLine {
+impl Drop for QueueEntry {
     fn drop(&mut self) {
         let now = self.gateway.now();
         let left =
-            self.gateway.waiting.with(&self.service, |line| line.queue.remove(self.ticket, now));
+            self.gateway.waiting.with(&self.service, |state| state.queue.remove(self.ticket, now));
 
         if let Some((waiter, _)) = left.flatten() {
             self.gateway.counters.in_line.left(waiter.urgency);
@@ -84,23 +84,23 @@
     }
 }
 
-impl Waiting {
+impl WaitQueues {
     /// Puts a configuration's orders in force.
-    pub fn take_table(&self, table: &RouteTable, by_urgency: bool) {
+    pub fn apply_table(&self, table: &RouteTable, by_urgency: bool) {
         let mut lines = self.lines.borrow_mut();
-        lines.retain(|service, line| {
-            !line.queue.is_empty() || line.is_served || table.service(service).is_some()
+        lines.retain(|service, state| {
+            !state.queue.is_empty() || state.has_task || table.service(service).is_some()
         });
 
-        for (service, line) in lines.iter_mut() {
+        for (service, state) in lines.iter_mut() {
             let is_ranked = by_urgency && table.has_urgency_levels(service);
-            line.queue.set_options(options(table, is_ranked, service));
+            state.queue.set_options(options(table, is_ranked, service));
         }
     }
 
     /// Gets how many wait for a service, by the urgency of their routes, for a dump.
     pub fn dump(&self, service: &str) -> serde_json::Value {
-        let waiting = self.with(service, |line| line.queue.waiting()).unwrap_or_default();
+        let waiting = self.with(service, |state| state.queue.waiting()).unwrap_or_default();
         let mut by_urgency: BTreeMap<String, usize> = BTreeMap::new();
 
         for ((_, of_route), count) in waiting {
@@ -112,7 +112,7 @@
 
     /// Gets when a request that was refused should come back, by the places given lately; none where that is not
     /// known, or its service serves in the order of arrival.
-    pub fn return_time(
+    pub fn scheduled_return(
         &self,
         service: &str,
         urgency: Urgency,
@@ -121,34 +121,38 @@
         now: Moment,
     ) -> Option<Duration> {
         let mut random = ProcessRandom::default();
-        let place = |line: &mut Line| {
-            let rate = line.queue.rate().filter(|_| line.queue.order() == Order::Urgency)?;
+        let place = |state: &mut QueueState| {
+            let rate = state.queue.rate().filter(|_| state.queue.order() == Order::Urgency)?;
             let schedule = Schedule { first, rate, left };
 
-            Some(line.returns.retry_after(urgency, schedule, now, &mut random))
+            Some(state.returns.retry_after(urgency, schedule, now, &mut random))
         };
 
         self.with(service, place).flatten()
     }
 
     /// Does something with a service's line, where there is one.
-    pub(super) fn with<T>(&self, service: &str, act: impl FnOnce(&mut Line) -> T) -> Option<T> {
+    pub(super) fn with<T>(
+        &self,
+        service: &str,
+        act: impl FnOnce(&mut QueueState) -> T,
+    ) -> Option<T> {
         self.lines.borrow_mut().get_mut(service).map(act)
     }
 
     /// Tells whether nobody waits for a service.
     pub fn is_empty(&self, service: &str) -> bool {
-        self.with(service, |line| line.queue.is_empty()).unwrap_or(true)
+        self.with(service, |state| state.queue.is_empty()).unwrap_or(true)
     }
 
     /// Gets who is next.
-    pub(super) fn next(
+    pub(super) fn peek(
         &self,
         service: &str,
         now: Moment,
     ) -> Option<(Rc<RoutedRequest>, Vec<TargetId>)> {
-        let next = |line: &mut Line| {
-            let (_, seeker) = line.queue.peek(now)?;
+        let next = |state: &mut QueueState| {
+            let (_, seeker) = state.queue.peek(now)?;
 
             Some((seeker.request.clone(), seeker.tried.clone()))
         };
@@ -159,30 +163,30 @@
     /// Gets all that wait, with their services and tickets.
     pub(super) fn all(&self) -> Vec<(ServiceName, Ticket, Rc<RoutedRequest>)> {
         let lines = self.lines.borrow();
-        let of_line = |(service, line): (&ServiceName, &Line)| {
+        let of_queue = |(service, state): (&ServiceName, &QueueState)| {
             let with_request = |ticket: &Ticket| {
-                let (_, seeker) = line.queue.get(*ticket)?;
+                let (_, seeker) = state.queue.get(*ticket)?;
                 Some((service.clone(), *ticket, seeker.request.clone()))
             };
 
-            line.queue.tickets().iter().filter_map(with_request).collect::<Vec<_>>()
+            state.queue.tickets().iter().filter_map(with_request).collect::<Vec<_>>()
         };
 
-        lines.iter().flat_map(of_line).collect()
+        lines.iter().flat_map(of_queue).collect()
     }
 
     /// Makes the line of a service where there is none.
-    pub(super) fn make_line(&self, table: &RouteTable, is_ranked: bool, service: &str) {
+    pub(super) fn ensure_queue(&self, table: &RouteTable, is_ranked: bool, service: &str) {
         let mut lines = self.lines.borrow_mut();
 
         if !lines.contains_key(service) {
-            let line = Line {
+            let state = QueueState {
                 queue: Queue::new(options(table, is_ranked, service)),
                 returns: Returns::default(),
-                is_served: false,
-                obstacle: Obstacle { reason: NoPlace::Full, is_overdue: false },
+                has_task: false,
+                obstacle: Obstacle { reason: NoSlot::Full, is_overdue: false },
             };
-            lines.insert(service.to_string(), line);
+            lines.insert(service.to_string(), state);
         }
     }
 }
--- a/grebedeck/src/gateway/whole.rs
+++ b/grebedeck/src/gateway/whole.rs
@@ -11,32 +11,32 @@
 
 use super::attempt;
 use super::buffer::Buffer;
-use super::caller::After;
-use super::place::{self, NoPlace, Place};
+use super::caller::Reuse;
+use super::place::{self, NoSlot, Slot};
 use super::request::{CallerRequest, RoutedRequest};
 use super::service::Gateway;
-use super::trace::{Decision, End};
-use super::tried::{Failure, FailureCause, Tried};
+use super::trace::{Decision, Outcome};
+use super::tried::{AttemptFailure, AttemptHistory, FailureCause};
 
 /// How long a caller is told to wait while the process does not know its configuration or targets.
 const NOT_READY_WAIT: Duration = Duration::from_millis(500);
 
 /// An answer that is here whole.
-pub struct WholeAnswer {
+pub struct BufferedAnswer {
     head: ResponseHead,
     /// None for this process's own answers.
     body: Option<Buffer>,
-    is_own: bool,
+    is_local: bool,
 }
 
-impl WholeAnswer {
+impl BufferedAnswer {
     /// Makes the answer of a target.
-    pub fn of_target(head: ResponseHead, body: Buffer) -> Self {
-        WholeAnswer { head, body: Some(body), is_own: false }
+    pub fn from_target(head: ResponseHead, body: Buffer) -> Self {
+        BufferedAnswer { head, body: Some(body), is_local: false }
     }
 
     /// Makes this process's own answer; `retry_after` is for requests that have not run.
-    pub fn own(
+    pub fn local(
         status: u16,
         retry_after: Option<Duration>,
         request: &CallerRequest,
@@ -49,19 +49,19 @@
             head.headers.push(names.retry_after, format!("{:.3}", wait.as_secs_f64()));
         }
 
-        WholeAnswer { head, body: None, is_own: true }
+        BufferedAnswer { head, body: None, is_local: true }
     }
 
     /// Makes the answer of a process that does not take requests yet, or does no longer.
     pub fn not_ready(request: &CallerRequest, names: &HeaderNames) -> Self {
-        WholeAnswer::own(503, Some(NOT_READY_WAIT), request, names)
+        BufferedAnswer::local(503, Some(NOT_READY_WAIT), request, names)
     }
 
     /// Makes the answer to a request that the configuration does not allow.
     pub fn denied(denied: Denied, request: &CallerRequest, names: &HeaderNames) -> Self {
         match denied {
-            Denied::NoConfiguration => WholeAnswer::not_ready(request, names),
-            _ => WholeAnswer::own(denied.status(), None, request, names),
+            Denied::NoConfiguration => BufferedAnswer::not_ready(request, names),
+            _ => BufferedAnswer::local(denied.status(), None, request, names),
         }
     }
 
@@ -69,14 +69,14 @@
     pub fn given_up(
         run: RunState,
         is_late: bool,
-        reason: NoPlace,
+        reason: NoSlot,
         request: &RoutedRequest,
         gateway: &Gateway,
     ) -> Self {
         let wait = reason.retry_after(gateway, request);
         let retry_after = (run == RunState::NotRun).then_some(wait);
 
-        WholeAnswer::own(
+        BufferedAnswer::local(
             give_up_status(run, is_late),
             retry_after,
             &request.request,
@@ -85,17 +85,21 @@
     }
 
     /// Gets how a request ends that gets this answer.
-    pub fn end(&self) -> End {
-        if self.is_own { End::Own(self.head.status) } else { End::Answered(self.head.status) }
+    pub fn end(&self) -> Outcome {
+        if self.is_local {
+            Outcome::Local(self.head.status)
+        } else {
+            Outcome::Answered(self.head.status)
+        }
     }
 
     /// Gets the bytes to send, of which a long body is a part of its own. The second part has the memory of both.
-    pub fn into_parts(self, after: After) -> (Vec<u8>, Option<Buffer>) {
+    pub fn into_parts(self, reuse: Reuse) -> (Vec<u8>, Option<Buffer>) {
         let mut headers: Headers = self.head.headers.end_to_end();
         let len_bytes = self.body.as_ref().map_or(0, |body| body.len());
         headers.push("content-length", len_bytes.to_string());
 
-        if after == After::Close {
+        if reuse == Reuse::Close {
             headers.push("connection", "close");
         }
 
@@ -106,7 +110,7 @@
         match self.body {
             Some(mut body) if len_bytes <= JOINED_BYTES => {
                 bytes.extend_from_slice(&body);
-                body.move_out();
+                body.discard_bytes();
                 (bytes, Some(body))
             }
             body => (bytes, body),
@@ -115,7 +119,7 @@
 }
 
 /// Serves a request.
-pub async fn serve(gateway: &Rc<Gateway>, request: &Rc<RoutedRequest>) -> WholeAnswer {
+pub async fn serve(gateway: &Rc<Gateway>, request: &Rc<RoutedRequest>) -> BufferedAnswer {
     gateway.earn_repeat(&request.service);
     let left = request.deadline.saturating_sub(gateway.now());
     let mut attempts = Attempts::default();
@@ -123,7 +127,7 @@
     match timeout(left, attempts.run(gateway, request)).await {
         Ok(answer) => answer,
         Err(_) => {
-            let reason = NoPlace::after_attempts(gateway, &request.service);
+            let reason = NoSlot::after_attempts(gateway, &request.service);
             attempts.give_up(gateway, request, reason)
         }
     }
@@ -132,40 +136,40 @@
 /// The attempts of one request.
 #[derive(Default)]
 struct Attempts {
-    tried: Tried,
+    tried: AttemptHistory,
     /// A target's own failure, which the caller gets where no other attempt does better.
-    failure: Option<WholeAnswer>,
+    failure: Option<BufferedAnswer>,
 }
 
 impl Attempts {
-    async fn run(&mut self, gateway: &Rc<Gateway>, request: &Rc<RoutedRequest>) -> WholeAnswer {
+    async fn run(&mut self, gateway: &Rc<Gateway>, request: &Rc<RoutedRequest>) -> BufferedAnswer {
         loop {
-            let place = match place::find(gateway, request, self.tried.targets()).await {
+            let place = match place::acquire(gateway, request, self.tried.targets()).await {
                 Ok(place) => place,
                 Err(reason) => return self.give_up(gateway, request, reason),
             };
 
-            self.tried.begin(&place.target);
+            self.tried.record_start(&place.target);
 
             match self.attempt(gateway, request, place).await {
                 Ok((answer, Verdict::Failure)) => self.failure = Some(answer),
                 Ok((answer, _)) => return answer,
                 Err(failure) => {
-                    if !self.tried.failed(&failure) {
+                    if !self.tried.record_failure(&failure) {
                         continue;
                     }
 
                     // Another target's answer would find as little.
                     if failure.cause == FailureCause::NoMemory {
                         gateway.counters.unread.add("answer_no_memory");
-                        let reason = NoPlace::after_attempts(gateway, &request.service);
+                        let reason = NoSlot::after_attempts(gateway, &request.service);
                         return self.give_up(gateway, request, reason);
                     }
                 }
             }
 
             if !gateway.may_send_again(request, &self.tried) {
-                let reason = NoPlace::after_attempts(gateway, &request.service);
+                let reason = NoSlot::after_attempts(gateway, &request.service);
                 return self.give_up(gateway, request, reason);
             }
         }
@@ -175,8 +179,8 @@
         &self,
         gateway: &Rc<Gateway>,
         request: &RoutedRequest,
-        place: Place,
-    ) -> Result<(WholeAnswer, Verdict), Failure> {
+        place: Slot,
+    ) -> Result<(BufferedAnswer, Verdict), AttemptFailure> {
         let began = gateway.now();
         let target = place.target.clone();
         let opened = attempt::open(gateway, request, place).await?;
@@ -191,11 +195,11 @@
         match opened.read_whole().await {
             Ok((head, body)) => {
                 gateway.note_answer_time(&request.service, gateway.now() - began);
-                Ok((WholeAnswer::of_target(head, body), verdict))
+                Ok((BufferedAnswer::from_target(head, body), verdict))
             }
             Err(cause) => {
-                let failure = Failure::may_have_run(cause);
-                let decision = Decision::Failed { target: target.id.clone(), failure };
+                let failure = AttemptFailure::may_have_run(cause);
+                let decision = Decision::AttemptFailed { target: target.id.clone(), failure };
                 request.trace.add(gateway.now(), decision);
                 Err(failure)
             }
@@ -206,14 +210,14 @@
         &mut self,
         gateway: &Gateway,
         request: &RoutedRequest,
-        reason: NoPlace,
-    ) -> WholeAnswer {
+        reason: NoSlot,
+    ) -> BufferedAnswer {
         let run = self.tried.run_state();
-        let is_late = request.is_late(gateway.now());
+        let is_late = request.is_past_deadline(gateway.now());
 
         match self.failure.take() {
             Some(failure) => failure,
-            None => WholeAnswer::given_up(run, is_late, reason, request, gateway),
+            None => BufferedAnswer::given_up(run, is_late, reason, request, gateway),
         }
     }
 }
--- a/grebedeck/src/gateway/writer.rs
+++ b/grebedeck/src/gateway/writer.rs
@@ -15,9 +15,9 @@
 
 /// How a write to a caller ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Written {
+pub enum WriteOutcome {
     /// The caller's system has all of it.
-    Whole,
+    Complete,
     /// The caller has gone.
     Gone,
     /// The caller took nothing for [`STALL_LIMIT`].
@@ -26,14 +26,14 @@
     TimedOut,
 }
 
-impl Written {
+impl WriteOutcome {
     /// Gets a short word for logs.
     pub fn word(self) -> &'static str {
         match self {
-            Written::Whole => "whole",
-            Written::Gone => "gone",
-            Written::Stalled => "stalled",
-            Written::TimedOut => "timed_out",
+            WriteOutcome::Complete => "whole",
+            WriteOutcome::Gone => "gone",
+            WriteOutcome::Stalled => "stalled",
+            WriteOutcome::TimedOut => "timed_out",
         }
     }
 }
@@ -44,12 +44,12 @@
     connection: &Connection,
     mut bytes: &[u8],
     until: Moment,
-) -> Written {
-    let mut reader = WriteTimeouts::new(STALL_LIMIT, until, gateway.now());
+) -> WriteOutcome {
+    let mut timeouts = WriteTimeouts::new(STALL_LIMIT, until, gateway.now());
 
     while !bytes.is_empty() {
         // What is taken at once is written also where the time is over, such as after a freeze of this process.
-        let left = match reader.remaining(gateway.now()) {
+        let left = match timeouts.remaining(gateway.now()) {
             WriteWait::For(left) => left,
             WriteWait::Stalled | WriteWait::TimedOut => Duration::ZERO,
         };
@@ -57,16 +57,16 @@
         match timeout(left, connection.write_some(bytes)).await {
             Ok(Ok(taken)) => {
                 bytes = &bytes[taken..];
-                reader.record_progress(gateway.now());
+                timeouts.record_progress(gateway.now());
             }
-            Ok(Err(_)) => return Written::Gone,
-            Err(_) => match reader.remaining(gateway.now()) {
+            Ok(Err(_)) => return WriteOutcome::Gone,
+            Err(_) => match timeouts.remaining(gateway.now()) {
                 WriteWait::For(_) => {}
-                WriteWait::Stalled => return Written::Stalled,
-                WriteWait::TimedOut => return Written::TimedOut,
+                WriteWait::Stalled => return WriteOutcome::Stalled,
+                WriteWait::TimedOut => return WriteOutcome::TimedOut,
             },
         }
     }
 
-    Written::Whole
+    WriteOutcome::Complete
 }
--- a/grebedeck/tests/kept.rs
+++ b/grebedeck/tests/kept.rs
@@ -18,7 +18,7 @@
     }
 
     assert!(*kept == *whole);
-    kept.move_out();
+    kept.discard_bytes();
     assert!(shared.used_bytes() >= LARGE_BYTES, "a copy of it is still to be sent");
     drop(kept);
     assert_eq!(shared.used_bytes(), 0);
@@ -62,7 +62,7 @@
     let shared = SharedMemory::new(LARGE_BYTES);
     let mut kept = Buffer::new(&shared);
 
-    assert!(kept.note_len(30_000) && shared.used_bytes() == 30_000);
-    assert!(kept.note_len(10) && shared.used_bytes() == 10);
-    assert!(!kept.note_len(LARGE_BYTES));
+    assert!(kept.set_external_len(30_000) && shared.used_bytes() == 30_000);
+    assert!(kept.set_external_len(10) && shared.used_bytes() == 10);
+    assert!(!kept.set_external_len(LARGE_BYTES));
 }
--- a/grebedeck/tests/pace.rs
+++ b/grebedeck/tests/pace.rs
@@ -14,14 +14,14 @@
     let settings = settings();
     let gateway = Gateway::new(settings.clone(), NAMES, Tasks::default());
     let pause = Duration::from_millis(90);
-    gateway.note_pause("notes", pause, &rule());
-    assert_eq!(gateway.pause("notes"), Some(pause));
+    gateway.record_pause("notes", pause, &rule());
+    assert_eq!(gateway.mean_pause("notes"), Some(pause));
 
     gateway.set_settings(GatewaySettings { memory_mb: 90, ..settings.clone() });
-    assert_eq!(gateway.pause("notes"), Some(pause));
+    assert_eq!(gateway.mean_pause("notes"), Some(pause));
 
     let mut changed = settings;
     changed.load.pause_deviations = 1.0;
     gateway.set_settings(changed);
-    assert_eq!(gateway.pause("notes"), None);
+    assert_eq!(gateway.mean_pause("notes"), None);
 }
--- a/grebedeck/tests/place.rs
+++ b/grebedeck/tests/place.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use grebedeck::gateway::place::NoPlace;
+use grebedeck::gateway::place::NoSlot;
 
 const MS: fn(u64) -> Duration = Duration::from_millis;
 
@@ -11,16 +11,22 @@
 fn nobody_waits_for_a_service_that_is_back_too_late() {
     let (give_up, now) = (MS(1400), MS(1000));
 
-    assert!(NoPlace::Out(MS(401)).is_hopeless(true, give_up, now));
-    assert!(!NoPlace::Out(MS(400)).is_hopeless(true, give_up, now), "it may be back just in time");
-    assert!(!NoPlace::Full.is_hopeless(true, give_up, now), "a place may become free at any time");
-    assert!(!NoPlace::NoTargets.is_hopeless(true, give_up, now));
-    assert!(!NoPlace::Out(MS(900)).is_hopeless(false, give_up, now), "it may be back sooner");
+    assert!(NoSlot::Out(MS(401)).is_wait_futile(true, give_up, now));
+    assert!(
+        !NoSlot::Out(MS(400)).is_wait_futile(true, give_up, now),
+        "it may be back just in time"
+    );
+    assert!(
+        !NoSlot::Full.is_wait_futile(true, give_up, now),
+        "a place may become free at any time"
+    );
+    assert!(!NoSlot::NoTargets.is_wait_futile(true, give_up, now));
+    assert!(!NoSlot::Out(MS(900)).is_wait_futile(false, give_up, now), "it may be back sooner");
 }
 
 /// Operators take a hall back when they wish, which no caller can wait for.
 #[test]
 fn nobody_waits_for_a_service_whose_halls_are_evacuated() {
-    assert!(NoPlace::Evacuated.is_hopeless(false, MS(9000), MS(0)));
-    assert_eq!(NoPlace::Evacuated.word(), "evacuated");
+    assert!(NoSlot::Evacuated.is_wait_futile(false, MS(9000), MS(0)));
+    assert_eq!(NoSlot::Evacuated.word(), "evacuated");
 }
--- a/grebedeck/tests/withdrawn.rs
+++ b/grebedeck/tests/withdrawn.rs
@@ -13,10 +13,10 @@
 use grebedeck::gateway::Tasks;
 use grebedeck::gateway::attempt::{InFlight, open};
 use grebedeck::gateway::buffer::Buffer;
-use grebedeck::gateway::place::{self, NoPlace, Place};
+use grebedeck::gateway::place::{self, NoSlot, Slot};
 use grebedeck::gateway::request::{CallerRequest, RoutedRequest};
 use grebedeck::gateway::service::Gateway;
-use grebedeck::gateway::tried::{FailureCause, Refusal, Tried};
+use grebedeck::gateway::tried::{AttemptHistory, FailureCause, Refusal};
 use grebedeck_gateway::{
     Admitted, ListedTarget, Permit, RunState, TargetEntry, TargetState, Verdict,
 };
@@ -60,15 +60,15 @@
     let request = request(&gateway);
     let chosen = Arc::new(entry.clone());
     let in_flight = InFlight::new(&gateway, &chosen);
-    let place = Place { in_flight, target: chosen, permit: Permit::NotNeeded };
-    let mut tried = Tried::default();
-    tried.begin(&entry);
+    let place = Slot { in_flight, target: chosen, permit: Permit::NotNeeded };
+    let mut tried = AttemptHistory::default();
+    tried.record_start(&entry);
     happens(&gateway, &entry);
 
     let opened = async_std::task::block_on(open(&gateway, &request, place));
     let failure = opened.err().expect("no answer");
     assert_eq!(failure.run, RunState::NotRun);
-    assert!(!tried.failed(&failure) && tried.targets().is_empty(), "it counts as no try");
+    assert!(!tried.record_failure(&failure) && tried.targets().is_empty(), "it counts as no try");
     drop(gateway);
     let mut bytes = Vec::new();
     let (mut stream, _) = listener.accept().expect("a connection was made");
@@ -131,7 +131,7 @@
         (0..100).map(|_| InFlight::new(&gateway, &Arc::new(entry.clone()))).collect();
     let request = Rc::new(request(&gateway));
     let (waiting, waiter) = (gateway.clone(), request.clone());
-    let found = tasks.spawn(async move { place::find(&waiting, &waiter, &[]).await.err() });
+    let found = tasks.spawn(async move { place::acquire(&waiting, &waiter, &[]).await.err() });
     let known = async {
         while !found.is_finished() && gateway.waiting.is_empty("notes") {
             async_std::task::sleep(Duration::from_millis(1)).await;
@@ -143,7 +143,7 @@
     };
     let (reason, took) = async_std::task::block_on(tasks.run(known));
 
-    assert!(matches!(reason, Some(NoPlace::Quarantined(_))), "{reason:?}");
+    assert!(matches!(reason, Some(NoSlot::Quarantined(_))), "{reason:?}");
     assert!(took < Duration::from_millis(100), "told after {took:?}");
     drop(taken);
 }
