--- a/grebedeck/src/gateway/entering.rs
+++ b/grebedeck/src/gateway/entering.rs
@@ -1,7 +1,8 @@
-//! How a request gets a place, or in line for one.
+//! Admission of a request to its service's queue.
 //!
-//! It takes a place at once where nobody waits, and stands in line otherwise: whoever came before it with the same
-//! urgency, or is more urgent, is not overtaken. Where the order means that it can't be in time, it is told at once.
+//! A request acquires a slot at once if nobody is queued, and is queued otherwise: a request of the
+//! same urgency that came earlier, or a more urgent one, is not overtaken. A request that cannot be
+//! in time because of this order is rejected at once.
 
 use std::rc::Rc;
 
@@ -18,19 +19,19 @@
 use super::trace::Decision;
 use super::waiting::{QueueEntry, QueueState, QueuedRequest};
 
-/// Weight of an organisation: no configuration names another.
+/// Weight of each organisation; the configuration sets none.
 const WEIGHT: u64 = 1;
 
-/// What a request has got.
+/// What a request gets on arrival.
 pub enum Acquisition {
-    /// A place.
+    /// A slot.
     Acquired(Slot),
-    /// A place in line.
+    /// An entry in the queue.
     Queued(QueueEntry),
 }
 
-/// Gets a place at once, gets in line, or learns why there is no use in either.
-pub fn enter(
+/// Acquires a slot at once or queues the request; fails with the reason if waiting is pointless.
+pub fn acquire_or_enqueue(
     gateway: &Rc<Gateway>,
     request: &Rc<RoutedRequest>,
     tried: &[TargetId],
@@ -43,9 +44,9 @@
 
     let reason = if is_first {
         match place::try_acquire(gateway, request, tried, now) {
-            Ok(place) => {
+            Ok(slot) => {
                 gateway.waiting.with(service, |state| state.queue.note_at_once(urgency, now));
-                return Ok(Acquisition::Acquired(place));
+                return Ok(Acquisition::Acquired(slot));
             }
             Err(reason) => handout::note_obstacle(gateway, service, reason),
         }
@@ -62,20 +63,22 @@
         reject_late(gateway, &waiter, service, reason, now)?;
     }
 
-    let line = enqueue(gateway, request, tried, waiter, now)?;
+    let entry = enqueue(gateway, request, tried, waiter, now)?;
 
-    // Who goes before all others may find a place that is of no use to them.
+    // A free slot that the requests queued before could not use may suit the new head of the
+    // queue.
     let is_next = |state: &mut QueueState| state.queue.peek(now).map(|(ticket, _)| ticket);
-    if !is_first && gateway.waiting.with(service, is_next).flatten() == Some(line.ticket) {
+    if !is_first && gateway.waiting.with(service, is_next).flatten() == Some(entry.ticket) {
         handout::hand_out(gateway, service);
     }
 
-    Ok(Acquisition::Queued(line))
+    Ok(Acquisition::Queued(entry))
 }
 
-/// Gives up who can't be in time behind those who go first: the newcomer, or others less urgent than it. All of them are
-/// told while a second try is still of use. Only where all places are taken or all targets have a limit, as the rate of an
-/// outage says nothing.
+/// Rejects requests that cannot be in time behind those ahead of them: the new request, or less
+/// urgent queued ones. Their callers are told while a retry can still be in time. Applies only if
+/// all slots are taken or all targets are rate-limited, as the rate during an outage says nothing
+/// about the wait.
 fn reject_late(
     gateway: &Rc<Gateway>,
     waiter: &Waiter,
@@ -161,7 +164,7 @@
     let service = &request.service;
     let urgency = waiter.urgency;
     let (sender, receiver) = oneshot::channel();
-    let seeker = QueuedRequest { request: request.clone(), tried: tried.to_vec(), reply: sender };
+    let queued = QueuedRequest { request: request.clone(), tried: tried.to_vec(), reply: sender };
 
     if let Some(ticket) =
         gateway.waiting.with(service, |state| state.queue.displaced_by(urgency)).flatten()
@@ -173,7 +176,7 @@
         let ahead = state.queue.ahead_of(&waiter);
         let needs_task = !std::mem::replace(&mut state.has_task, true);
 
-        (state.queue.push(waiter, seeker, now), ahead, needs_task)
+        (state.queue.push(waiter, queued, now), ahead, needs_task)
     });
     let Some((Ok(ticket), ahead, needs_task)) = pushed else {
         return Err(NoSlot::Full);
--- a/grebedeck/src/gateway/hold.rs
+++ b/grebedeck/src/gateway/hold.rs
@@ -1,7 +1,8 @@
-//! For how long a request is held without a place.
+//! How long a request waits for a slot.
 //!
-//! For as long as its answer can still be in time, as a refusal is of use only while the caller has time left; longer
-//! where its service is out and expected back soon, and as long as its caller waits where a stream would be cut.
+//! A request waits while its response can still be in time, so that a refusal reaches the caller
+//! with time left to retry. It waits longer while its service is out and expected back soon. A
+//! stream that would otherwise be truncated waits until its caller gives up.
 
 use grebedeck_core::Moment;
 use grebedeck_gateway::{TargetId, WaitLimitOptions};
@@ -12,14 +13,14 @@
 use super::request::RoutedRequest;
 use super::service::Gateway;
 
-/// Gets the latest moment at which a request's start is of use.
+/// Latest moment at which starting the request is still of use.
 pub fn start_by(
     gateway: &Gateway,
     request: &RoutedRequest,
     tried: &[TargetId],
     now: Moment,
 ) -> Moment {
-    // A stream that has begun would be cut, so it waits for as long as its caller does.
+    // A stream that has started would be truncated, so it waits for as long as its caller does.
     let until = if place::is_resumed_stream(request, tried) {
         now + MAX_HOLD
     } else {
@@ -30,19 +31,22 @@
     until.min(request.deadline)
 }
 
-/// Tells whether a request can be in time wherever it goes; else a refusal does not help it, and only who is less
-/// urgent should make room.
+/// Whether the request can meet its objective on some target. If not, a refusal does not help it,
+/// and only less urgent requests should be rejected to make room.
 pub fn can_meet_objective(gateway: &Gateway, request: &RoutedRequest) -> bool {
     let objective = request.admitted.rule.objective;
 
     gateway.patience(&request.service, objective) > WaitLimitOptions::default().min_wait
 }
 
-/// Gets until when a request waits at first. Where requests differ in urgency the more urgent stay in line longer than
-/// the least urgent, who are the first to be told: at least as long as less urgent ones may, and for
-/// [`URGENT_WAIT_PART`] of their objective where they are late anyhow. On a day with three bursts over each other all
-/// of them were given up after 20 ms, in which the order decides nothing: of those in line at three gateways 61 in 100
-/// of the most urgent and 54 in 100 of the least urgent were refused.
+/// Initial deadline of a request's wait.
+///
+/// Where requests differ in urgency, the more urgent ones wait longer than the least urgent, whose
+/// callers are refused first: at least as long as less urgent ones may wait, and for
+/// [`URGENT_WAIT_PART`] of their objective if they are late in any case. On a day with three
+/// overlapping bursts, all requests were given up after 20 ms, within which the order has no
+/// effect: of those queued at three gateways, 61 in 100 of the most urgent and 54 in 100 of the
+/// least urgent were refused.
 pub fn give_up_at(gateway: &Gateway, request: &RoutedRequest, start_by: Moment) -> Moment {
     let (service, rule) = (&request.service, &request.admitted.rule);
     let table = gateway.table();
@@ -59,7 +63,7 @@
     (request.request.arrived + patience).max(start_by).min(request.deadline)
 }
 
-/// Gets until when a request that has no place is held; none where it is to be given up now.
+/// Until when a request without a slot keeps waiting; `None` if it is to be given up now.
 pub fn held_until(
     gateway: &Gateway,
     request: &RoutedRequest,
@@ -68,7 +72,7 @@
     now: Moment,
 ) -> Option<Moment> {
     let is_held_longer = min_hold_until(gateway, reason, request, now) > give_up;
-    // Who has waited for longer than a refusal is of use is served rather late than not.
+    // After waiting for longer than a refusal is of use, a late response is better than none.
     let longest = (request.request.arrived + MAX_HOLD).min(request.deadline);
     let give_up = if is_held_longer { longest } else { give_up };
     let is_overdue = gateway.is_overdue(&request.service);
@@ -78,21 +82,22 @@
     (now < give_up && !is_wait_futile).then_some(give_up)
 }
 
-/// Tells whether a request waits until a target has rested: a stream that its caller has a part of would be cut.
+/// Whether a request waits until a target's requested delay is over, because its caller already has
+/// a part of the stream, which would be truncated.
 fn waits_for_delay(request: &RoutedRequest, reason: NoSlot, give_up: Moment, now: Moment) -> bool {
     let has_begun = request.last_event_id.get().is_some();
 
     has_begun && matches!(reason, NoSlot::DelayRequested(left) if now + left <= give_up)
 }
 
-/// Gets how long a request is held at least, for the reason that there is no place.
+/// Moment until which a request is held at least, given why there is no slot.
 fn min_hold_until(
     gateway: &Gateway,
     reason: NoSlot,
     request: &RoutedRequest,
     now: Moment,
 ) -> Moment {
-    // A caller whose stream broke has come back once already, and would lose what it has.
+    // The caller of a broken stream has already retried once, and would lose what it has received.
     let limit = if request.request.is_resume(&gateway.names) { MAX_HOLD } else { HOLD_LIMIT };
 
     match reason {
--- a/grebedeck/src/gateway/pace.rs
+++ b/grebedeck/src/gateway/pace.rs
@@ -1,4 +1,5 @@
-//! How long the pauses of a service's streams are, and the load that its targets may have with them.
+//! Pauses between the events of a service's streams, and the load limit of its targets that follows
+//! from them.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,12 +13,12 @@
 use super::service::Gateway;
 
 impl Gateway {
-    /// Gets the mean pause between the events of a service's streams, where it was seen lately.
+    /// Mean pause between the events of a service's streams, if observed lately.
     pub fn mean_pause(&self, service: &str) -> Option<Duration> {
         self.paces.borrow().get(service)?.pause(self.now())
     }
 
-    /// Notes the pause between two events of one stream.
+    /// Records the pause between two events of one stream.
     pub fn record_pause(&self, service: &str, pause: Duration, rule: &RouteRule) {
         let Some(limit) = rule.pause_limit else {
             return;
@@ -46,7 +47,7 @@
         paces.insert(service.to_string(), pace);
     }
 
-    /// Gets the load that a service's targets may have, in requests for each place.
+    /// Allowed load of a service's targets, in requests per slot.
     pub fn allowed_load(&self, service: &str, targets: &[Arc<TargetEntry>], now: Moment) -> f64 {
         if !self.is_model(service) {
             return self.settings().load.plain;
@@ -61,7 +62,7 @@
         let paces = self.paces.borrow();
         let chooser = self.chooser.borrow();
         let load = chooser.mean_load(targets, now);
-        // A rank without requests of its own keeps nobody waiting, but for its experts.
+        // A rank without requests delays nobody except through the experts that it holds.
         let is_used = |t: &&Arc<TargetEntry>| chooser.load_view(&t.id, now).in_flight >= 1.0;
         let used: Vec<_> = targets.iter().filter(is_used).cloned().collect();
         let slowdown = f64::from(chooser.worst_slowdown(&used, now));
@@ -69,20 +70,21 @@
         paces.get(service).map_or(full, |pace| pace.allowed_load(load, slowdown, full, now))
     }
 
-    /// Gets the time after which so many of the requests that run will have ended that the service's
-    /// targets have room again.
+    /// Expected time until enough running requests have ended for the service's targets to have
+    /// room.
     pub fn expected_slot_wait(&self, service: &str) -> Duration {
         let now = self.now();
         let targets = self.bearing(&self.candidates(service), now);
         let allowed = self.allowed_load(service, &targets, now);
         let load = self.chooser.borrow().mean_load(&targets, now);
-        // Where the mean is low enough, the next request that ends makes room.
+        // If the mean load is low enough, the next request that ends frees a slot.
         let over = (1.0 - allowed / load.max(1e-3)).max(1.0 / targets.len().max(1) as f64);
 
         self.usual_duration(service).mul_f64(over.min(1.0))
     }
 
-    /// Gets when a request that was refused should come back, where its service's places are given by urgency.
+    /// Delay after which the caller of a refused request should return; `None` unless the service's
+    /// queue is ordered by urgency and its rate is known.
     pub fn scheduled_return(&self, request: &RoutedRequest, first: Duration) -> Option<Duration> {
         let now = self.now();
         let left = request.deadline.saturating_sub(now);
@@ -96,7 +98,7 @@
         )
     }
 
-    /// Gets the time that a request of a service usually takes.
+    /// Usual duration of a service's requests.
     fn usual_duration(&self, service: &str) -> Duration {
         let table = self.table();
         let engine = table.service(service).and_then(|s| s.engine.as_ref());
--- a/grebedeck/src/gateway/place.rs
+++ b/grebedeck/src/gateway/place.rs
@@ -1,4 +1,7 @@
-//! Finding a place for a request on one of its service's targets.
+//! Acquires a slot for a request on one of its service's targets.
+//!
+//! A request that finds no slot gets the reason, [`NoSlot`], which decides whether it waits in the
+//! queue and when its caller is told to retry.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -19,41 +22,41 @@
 use super::trace::Decision;
 use crate::random::ProcessRandom;
 
-/// Why there is no place.
+/// Why a request gets no slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NoSlot {
-    /// No target of the service is known that takes work.
+    /// No target of the service that accepts work is known.
     NoTargets,
-    /// All targets of the service stand in halls that operators evacuate.
+    /// All targets of the service are in halls that operators have evacuated.
     Evacuated,
-    /// All targets have as many requests as they should.
+    /// All targets have reached their allowed load.
     Full,
-    /// All targets of the service want rest; the first of them has rested after this time.
+    /// All targets of the service have asked for a delay; the first of these ends after this time.
     DelayRequested(Duration),
-    /// The request crashes targets; it may be tried again after this time.
+    /// The request crashes targets; a trial may be made after this time.
     Quarantined(Duration),
-    /// The service is out, and expected back after this time.
+    /// The service is out and expected back after this time.
     Out(Duration),
-    /// Too many prompts have begun lately; the next one may after this time.
+    /// Too many prompts have started lately; the next one may start after this time.
     PromptLimited(Duration),
-    /// All places are taken, and those who go first take them for this time.
+    /// All slots are taken, and requests ahead in the queue will take the free ones for this time.
     Outranked(Duration),
-    /// All targets have named a limit, and the next request may be sent after this time.
+    /// All targets have announced a rate limit; the next permit is due after this time.
     RateLimited(Duration),
 }
 
-/// A place on a target, taken.
+/// A slot reserved on a target.
 pub struct Slot {
-    /// The target.
+    /// Target that has the slot.
     pub target: Arc<TargetEntry>,
-    /// Counts the request there.
+    /// Counts the request as in flight on the target.
     pub in_flight: InFlight,
-    /// Leave of a target that has a limit.
+    /// Permit for a target with a rate limit.
     pub permit: Permit,
 }
 
 impl NoSlot {
-    /// Gets why a request that is given up after its attempts has no place now.
+    /// Why a request that is given up after its attempts has no slot now.
     pub fn after_attempts(gateway: &Gateway, service: &str) -> Self {
         NoSlot::affecting_all(gateway, service).unwrap_or_else(|| {
             match gateway.availability(service) {
@@ -63,7 +66,7 @@
         })
     }
 
-    /// Gets why no request may be sent to any target of a service, where that is so.
+    /// Reason that currently applies to all targets of a service, whatever their load.
     fn affecting_all(gateway: &Gateway, service: &str) -> Option<Self> {
         if gateway.is_evacuated(service) {
             return Some(NoSlot::Evacuated);
@@ -72,22 +75,27 @@
         gateway.all_rest(service).map(NoSlot::DelayRequested)
     }
 
-    /// Gets why no target of a service that takes work may get a request.
+    /// Reason if no target of an available service has a slot: all are rate-limited, or all are
+    /// full.
     fn full_or_limited(gateway: &Gateway, service: &str) -> Self {
         gateway.permit_wait(service, 0).map_or(NoSlot::Full, NoSlot::RateLimited)
     }
 
-    /// Tells whether there is no use in waiting until `give_up`: the service is expected back later than that, and has
-    /// been out for longer than outages last. Callers of a group that never forms were held for their whole objective
-    /// before they were refused, which cost 0.78 of all worth on a day with such a group, and 0.34 with refusals at once.
-    /// Before that a service may be back sooner than expected: with refusals at once in every outage a day with outages
-    /// of two seconds lost 0.046, over four seeds. When operators take a hall back nobody knows.
+    /// Whether waiting until `give_up` is pointless because the reason will outlast it.
+    ///
+    /// If callers of a group that never forms are held for their whole objective and then refused,
+    /// a day with such a group loses 0.78 of its value, and 0.34 with refusals at once. An outage
+    /// counts only once it is overdue, that is, has lasted longer than expected, as a service may
+    /// be back sooner than estimated: with refusals at once in every outage, a day of two-second
+    /// outages lost 0.046 of its value, over four seeds. Nobody knows when operators will take an
+    /// evacuated hall back.
     pub fn is_wait_futile(self, is_overdue: bool, give_up: Moment, now: Moment) -> bool {
         match self {
             NoSlot::Out(left) => is_overdue && now + left > give_up,
-            // Targets that want rest say how long it takes, so callers can come back in time if they hear it at once.
+            // Targets that ask for a delay state its length, so callers that are refused at once
+            // can return in time.
             NoSlot::Evacuated | NoSlot::DelayRequested(_) | NoSlot::Quarantined(_) => true,
-            // Who would wait for too long does not get in line.
+            // A request whose wait would be too long is rejected before it enters the queue.
             NoSlot::RateLimited(_) => false,
             NoSlot::NoTargets | NoSlot::Full | NoSlot::PromptLimited(_) | NoSlot::Outranked(_) => {
                 false
@@ -95,12 +103,12 @@
         }
     }
 
-    /// Tells whether it is over so soon that requests are held for it.
+    /// Whether the reason ends soon enough for requests to be held.
     pub fn is_brief(self) -> bool {
         matches!(self, NoSlot::Out(left) | NoSlot::PromptLimited(left) if left <= HOLD_LIMIT)
     }
 
-    /// Gets a short word for logs and counters.
+    /// Label in logs and counters.
     pub fn word(self) -> &'static str {
         match self {
             NoSlot::NoTargets => "no_targets",
@@ -115,11 +123,11 @@
         }
     }
 
-    /// Gets how long the caller should wait before it asks again.
+    /// Delay that the caller is told to wait before it retries.
     pub fn retry_after(self, gateway: &Gateway, request: &RoutedRequest) -> Duration {
         let service = &request.service;
         let is_spread = gateway.uses(Mechanism::ReturnSpread);
-        // Those that come back at the same moment find the targets full.
+        // Callers that all return at the same moment would find the targets full again.
         let spread = if is_spread { ProcessRandom::default().unit() } else { 0.0 };
 
         match self {
@@ -130,9 +138,9 @@
                     NoSlot::RateLimited(left) => left,
                     _ => gateway.expected_slot_wait(service),
                 };
-                let slot = gateway.scheduled_return(request, left).filter(|_| is_spread);
+                let scheduled = gateway.scheduled_return(request, left).filter(|_| is_spread);
 
-                slot.unwrap_or_else(|| left + left.max(MIN_RETURN_SPREAD).mul_f64(spread))
+                scheduled.unwrap_or_else(|| left + left.max(MIN_RETURN_SPREAD).mul_f64(spread))
             }
             NoSlot::Out(left) => left + PLACEMENT_LAG + RETURN_SPREAD.mul_f64(spread),
             NoSlot::DelayRequested(left)
@@ -142,7 +150,7 @@
     }
 }
 
-/// Gets a place: at once where nobody waits, else in the order of those who do.
+/// Acquires a slot: at once if the queue is empty, otherwise in queue order.
 pub async fn acquire(
     gateway: &Rc<Gateway>,
     request: &Rc<RoutedRequest>,
@@ -150,11 +158,12 @@
 ) -> Result<Slot, NoSlot> {
     let began = gateway.now();
     gateway.record_demand(&request.service);
-    // First tries, repeats and streams that go on elsewhere all pass here: sent on after each crash, one request takes
-    // target after target down, and a group of them is out for as long as it comes.
+    // First attempts, retries and resumed streams all pass this check. A request that crashes
+    // targets and is sent on after each crash takes down target after target, and their group is
+    // out for as long as the request keeps coming.
     let found = match gateway.cleared(request).await {
-        Ok(()) => match entering::enter(gateway, request, tried) {
-            Ok(Acquisition::Acquired(place)) => Ok(place),
+        Ok(()) => match entering::acquire_or_enqueue(gateway, request, tried) {
+            Ok(Acquisition::Acquired(slot)) => Ok(slot),
             Ok(Acquisition::Queued(entry)) => entry.wait().await,
             Err(reason) => Err(reason),
         },
@@ -191,7 +200,7 @@
     }
 }
 
-/// Takes a place for a request, where there is one.
+/// Reserves a slot for a request if there is one.
 pub fn try_acquire(
     gateway: &Rc<Gateway>,
     request: &RoutedRequest,
@@ -215,19 +224,18 @@
 
     match gateway.availability(&request.service) {
         Availability::Out(left) if !gateway.take_trial(&request.service) => Err(NoSlot::Out(left)),
-        // That no target may be tried just now does not make the outage shorter.
-        Availability::Out(left) => {
-            select_unless_paced(gateway, request, tried, now).map_err(|reason| match reason {
+        // The outage does not get shorter because no target can be probed just now.
+        Availability::Out(left) => select_unless_prompt_limited(gateway, request, tried, now)
+            .map_err(|reason| match reason {
                 NoSlot::Full => NoSlot::Out(left),
                 reason => reason,
-            })
-        }
-        Availability::Up => select_unless_paced(gateway, request, tried, now),
+            }),
+        Availability::Up => select_unless_prompt_limited(gateway, request, tried, now),
     }
 }
 
-/// Chooses a target for a request whose prompt may begin now.
-fn select_unless_paced(
+/// Selects a target unless the request's prompt has to wait.
+fn select_unless_prompt_limited(
     gateway: &Gateway,
     request: &RoutedRequest,
     tried: &[TargetId],
@@ -242,7 +250,7 @@
     choose_target(gateway, request, tried, now)
 }
 
-/// Gets the targets that a request may go to, and the load that each of them may have.
+/// Targets with room that the request may go to, and the load limit of each, in requests per slot.
 fn eligible(
     gateway: &Gateway,
     request: &RoutedRequest,
@@ -252,14 +260,15 @@
     let serving = gateway.serving(&request.service).ok_or(NoSlot::NoTargets)?;
     let candidates = gateway.candidates(&request.service);
     let bearing = gateway.bearing(&candidates, now);
-    // A stream that goes on elsewhere has given up a place for it.
+    // A resumed stream has given up a slot for this one.
     let load_limit = match is_resumed_stream(request, tried) {
         true => gateway.settings().load.model,
         false => gateway.allowed_load(&request.service, &bearing, now),
     };
     let mut accepting = accepting(gateway, &candidates, tried, now);
 
-    // Of the others no load is heard, so they serve where none of the own ones can, and not where those are full.
+    // This gateway gets no load reports from targets outside its subset, so they serve only while
+    // no target of the subset accepts requests, and not while those are merely full.
     if accepting.is_empty() && candidates.len() < serving.len() {
         accepting = self::accepting(gateway, &serving, tried, now);
     }
@@ -270,7 +279,7 @@
     Ok((accepting, load_limit))
 }
 
-/// Gets those of some targets that take requests now, whatever their load.
+/// Those of `targets` that accept requests now, whatever their load.
 fn accepting(
     gateway: &Gateway,
     targets: &Arc<[Arc<TargetEntry>]>,
@@ -287,12 +296,12 @@
     accepting.into_iter().cloned().collect()
 }
 
-/// Tells whether a request is a stream that has begun at another target.
+/// Whether a request is a stream that has started on another target.
 pub fn is_resumed_stream(request: &RoutedRequest, tried: &[TargetId]) -> bool {
     !tried.is_empty() && request.last_event_id.get().is_some()
 }
 
-/// Tells whether a stream could go on at a target that it was not at yet.
+/// Whether a stream could continue on a target that it has not been on.
 pub fn has_free_slot(gateway: &Gateway, request: &RoutedRequest, tried: &[TargetId]) -> bool {
     let found = eligible(gateway, request, tried, gateway.now());
 
--- a/grebedeck/src/gateway/prompts.rs
+++ b/grebedeck/src/gateway/prompts.rs
@@ -1,4 +1,4 @@
-//! How fast prompts go to a model's group, and how long a request waits for that.
+//! Rate at which prompts are sent to a model's group, and how long requests wait for it.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,7 +12,7 @@
 use super::service::Gateway;
 
 impl Gateway {
-    /// Gets the time until the next prompt may go to a service's group.
+    /// Time until the next prompt may be sent to a service's group.
     pub fn prompt_wait(&self, service: &str, now: Moment) -> Duration {
         if self.waits_for_ranks(service, now) {
             return FIRST_WATCH_PERIOD;
@@ -22,11 +22,11 @@
             return Duration::ZERO;
         }
 
-        self.prompts.borrow().get(service).map_or(Duration::ZERO, |rate| rate.wait(now))
+        self.prompts.borrow().get(service).map_or(Duration::ZERO, |limiter| limiter.wait(now))
     }
 
-    /// Gets this gateway's share of the requests for the targets that it deals with: what it has in flight itself, and
-    /// at least an equal part of what the gateways have that deal with a target.
+    /// This gateway's share of the load on `targets`: its own requests in flight as a part of all,
+    /// and at least an equal share among the gateways that use a target.
     fn gateway_share(&self, service: &str, targets: &[Arc<TargetEntry>], now: Moment) -> f64 {
         let chooser = self.chooser.borrow();
         let serving = self.serving(service).map_or(0, |all| all.len());
@@ -38,7 +38,7 @@
         (own / all.max(1.0)).clamp(equal, 1.0)
     }
 
-    /// Notes that a request's prompt goes to its service's group.
+    /// Takes the tokens of a request's prompt from its service's limiter.
     pub fn record_prompt(&self, request: &RoutedRequest, now: Moment) {
         let table = self.table();
         let service = &request.service;
@@ -51,12 +51,12 @@
         let tokens = request.request.prompt_tokens(&self.names).unwrap_or(engine.usual_prompt);
         let mut prompts = self.prompts.borrow_mut();
         let first = PromptLimiter::new(tokens_per_s, PROMPT_BURST);
-        let rate = prompts.entry(service.clone()).or_insert(first);
-        rate.set_rate(tokens_per_s);
-        rate.take(tokens, now);
+        let limiter = prompts.entry(service.clone()).or_insert(first);
+        limiter.set_rate(tokens_per_s);
+        limiter.take(tokens, now);
     }
 
-    /// Tells whether a request for a model should wait for the ranks' first word on their group.
+    /// Whether requests for a model should wait for the ranks' first report on their group.
     fn waits_for_ranks(&self, service: &str, now: Moment) -> bool {
         let is_early = self.targets_known_at.get().is_none_or(|at| now < at + FIRST_LOAD_WAIT);
 
--- a/grebedeck/src/gateway/waiting.rs
+++ b/grebedeck/src/gateway/waiting.rs
@@ -1,7 +1,7 @@
-//! Those who wait at this gateway for a place on a service's targets.
+//! Queues of the requests that wait at this gateway for a slot.
 //!
-//! Each service has one queue, whose order is [`grebedeck_admission`]'s. Requests get in line by [`super::entering`],
-//! and [`super::handout`] gives places to those who are next.
+//! Each service has one queue, ordered by [`grebedeck_admission`]. [`super::entering`] adds
+//! requests, and [`super::handout`] assigns slots to the requests at the head.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap};
@@ -19,44 +19,44 @@
 use super::service::Gateway;
 use crate::random::ProcessRandom;
 
-/// One that waits.
+/// A request in a queue.
 pub(super) struct QueuedRequest {
-    /// Its request.
+    /// The request.
     pub request: Rc<RoutedRequest>,
-    /// Targets that it was sent to.
+    /// Targets that it has been sent to.
     pub tried: Vec<TargetId>,
-    /// Where its answer goes.
+    /// Receives the slot, or the reason why there is none.
     pub reply: oneshot::Sender<Result<Slot, NoSlot>>,
 }
 
-/// What those who wait for a service wait for.
+/// Why the requests of a service are waiting.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Obstacle {
-    /// Why there is no place.
+    /// Why there is no slot.
     pub reason: NoSlot,
     /// Whether the service has been out for longer than expected.
     pub is_overdue: bool,
 }
 
-/// Those who wait for one service.
+/// Queue state of one service.
 pub(super) struct QueueState {
-    /// Them, in order.
+    /// Waiting requests, in order.
     pub queue: Queue<QueuedRequest>,
-    /// When those who are refused come back.
+    /// Return times given to refused callers.
     pub returns: Returns,
-    /// Whether a task hands places out.
+    /// Whether a task is assigning slots.
     pub has_task: bool,
-    /// What they wait for.
+    /// Why the requests are waiting.
     pub obstacle: Obstacle,
 }
 
-/// Those who wait at a gateway, by service.
+/// Queues of a gateway, by service.
 #[derive(Default)]
 pub struct WaitQueues {
-    lines: RefCell<HashMap<ServiceName, QueueState>>,
+    queues: RefCell<HashMap<ServiceName, QueueState>>,
 }
 
-/// A request in line; it leaves when this is dropped.
+/// A queued request; dropping this removes it from the queue.
 pub struct QueueEntry {
     pub(super) gateway: Rc<Gateway>,
     pub(super) service: ServiceName,
@@ -65,9 +65,10 @@
 }
 
 impl QueueEntry {
-    /// Waits for the place, or for the reason why there is none.
+    /// Waits for the slot, or for the reason why there is none.
     pub async fn wait(mut self) -> Result<Slot, NoSlot> {
-        // Who waits is answered before it is dropped; otherwise its service is gone.
+        // A waiter is answered before its entry is dropped; a closed channel means that its service
+        // is gone.
         (&mut self.reply).await.unwrap_or(Err(NoSlot::NoTargets))
     }
 }
@@ -85,20 +86,20 @@
 }
 
 impl WaitQueues {
-    /// Puts a configuration's orders in force.
+    /// Applies the queue orders of a configuration.
     pub fn apply_table(&self, table: &RouteTable, by_urgency: bool) {
-        let mut lines = self.lines.borrow_mut();
-        lines.retain(|service, state| {
+        let mut queues = self.queues.borrow_mut();
+        queues.retain(|service, state| {
             !state.queue.is_empty() || state.has_task || table.service(service).is_some()
         });
 
-        for (service, state) in lines.iter_mut() {
+        for (service, state) in queues.iter_mut() {
             let is_ranked = by_urgency && table.has_urgency_levels(service);
             state.queue.set_options(options(table, is_ranked, service));
         }
     }
 
-    /// Gets how many wait for a service, by the urgency of their routes, for a dump.
+    /// Number of waiting requests of a service, by the urgency of their routes, for a dump.
     pub fn dump(&self, service: &str) -> serde_json::Value {
         let waiting = self.with(service, |state| state.queue.waiting()).unwrap_or_default();
         let mut by_urgency: BTreeMap<String, usize> = BTreeMap::new();
@@ -110,8 +111,9 @@
         json!(by_urgency)
     }
 
-    /// Gets when a request that was refused should come back, by the places given lately; none where that is not
-    /// known, or its service serves in the order of arrival.
+    /// Delay after which the caller of a refused request should return, from the rate at which
+    /// slots were assigned lately; `None` if that rate is unknown or the queue is in order of
+    /// arrival.
     pub fn scheduled_return(
         &self,
         service: &str,
@@ -121,77 +123,77 @@
         now: Moment,
     ) -> Option<Duration> {
         let mut random = ProcessRandom::default();
-        let place = |state: &mut QueueState| {
+        let delay = |state: &mut QueueState| {
             let rate = state.queue.rate().filter(|_| state.queue.order() == Order::Urgency)?;
             let schedule = Schedule { first, rate, left };
 
             Some(state.returns.retry_after(urgency, schedule, now, &mut random))
         };
 
-        self.with(service, place).flatten()
+        self.with(service, delay).flatten()
     }
 
-    /// Does something with a service's line, where there is one.
+    /// Calls `act` with the queue of a service if it has one.
     pub(super) fn with<T>(
         &self,
         service: &str,
         act: impl FnOnce(&mut QueueState) -> T,
     ) -> Option<T> {
-        self.lines.borrow_mut().get_mut(service).map(act)
+        self.queues.borrow_mut().get_mut(service).map(act)
     }
 
-    /// Tells whether nobody waits for a service.
+    /// Whether no request for a service is waiting.
     pub fn is_empty(&self, service: &str) -> bool {
         self.with(service, |state| state.queue.is_empty()).unwrap_or(true)
     }
 
-    /// Gets who is next.
+    /// Request at the head of a service's queue, and the targets that it has been sent to.
     pub(super) fn peek(
         &self,
         service: &str,
         now: Moment,
     ) -> Option<(Rc<RoutedRequest>, Vec<TargetId>)> {
         let next = |state: &mut QueueState| {
-            let (_, seeker) = state.queue.peek(now)?;
+            let (_, queued) = state.queue.peek(now)?;
 
-            Some((seeker.request.clone(), seeker.tried.clone()))
+            Some((queued.request.clone(), queued.tried.clone()))
         };
 
         self.with(service, next).flatten()
     }
 
-    /// Gets all that wait, with their services and tickets.
+    /// All waiting requests, with their services and tickets.
     pub(super) fn all(&self) -> Vec<(ServiceName, Ticket, Rc<RoutedRequest>)> {
-        let lines = self.lines.borrow();
+        let queues = self.queues.borrow();
         let of_queue = |(service, state): (&ServiceName, &QueueState)| {
             let with_request = |ticket: &Ticket| {
-                let (_, seeker) = state.queue.get(*ticket)?;
-                Some((service.clone(), *ticket, seeker.request.clone()))
+                let (_, queued) = state.queue.get(*ticket)?;
+                Some((service.clone(), *ticket, queued.request.clone()))
             };
 
             state.queue.tickets().iter().filter_map(with_request).collect::<Vec<_>>()
         };
 
-        lines.iter().flat_map(of_queue).collect()
+        queues.iter().flat_map(of_queue).collect()
     }
 
-    /// Makes the line of a service where there is none.
+    /// Creates the queue of a service if it has none.
     pub(super) fn ensure_queue(&self, table: &RouteTable, is_ranked: bool, service: &str) {
-        let mut lines = self.lines.borrow_mut();
+        let mut queues = self.queues.borrow_mut();
 
-        if !lines.contains_key(service) {
+        if !queues.contains_key(service) {
             let state = QueueState {
                 queue: Queue::new(options(table, is_ranked, service)),
                 returns: Returns::default(),
                 has_task: false,
                 obstacle: Obstacle { reason: NoSlot::Full, is_overdue: false },
             };
-            lines.insert(service.to_string(), state);
+            queues.insert(service.to_string(), state);
         }
     }
 }
 
-/// Gets the settings of a service's queue.
+/// Settings of a service's queue.
 fn options(table: &RouteTable, is_ranked: bool, service: &str) -> QueueOptions {
     let engine = table.service(service).and_then(|s| s.engine.as_ref());
     let usual = |engine: &EngineSpec| engine.usual_prompt + engine.usual_answer;
--- a/grebedeck/tests/lone/mod.rs
+++ b/grebedeck/tests/lone/mod.rs
@@ -1,4 +1,4 @@
-//! A gateway without a network of its own.
+//! Settings for a gateway that no other process can reach.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 use grebedeck::settings::parse;
 use grebedeck_gateway::{HeaderNames, RequestKind, RouteRule};
 
-/// Settings of a gateway that nobody can reach.
+/// Settings with unreachable addresses.
 const SETTINGS: &str = r#"{
     "name": "gateway-1", "hall": "north", "caller_address": "127.0.0.1:1",
     "ready_address": "127.0.0.1:2", "peer_address": "127.0.0.1:3", "metrics_address": "127.0.0.1:4",
@@ -15,7 +15,7 @@
     "load": { "pause_deviations": 3.0 }
 }"#;
 
-/// Names of headers.
+/// Header names.
 pub const NAMES: HeaderNames = HeaderNames {
     request_id: "request-id",
     organisation: "organisation",
--- a/grebedeck/tests/pace.rs
+++ b/grebedeck/tests/pace.rs
@@ -1,4 +1,4 @@
-//! What a gateway has learnt of pauses outlasts a reload of its settings.
+//! Observed pauses survive a reload of the settings.
 
 mod lone;
 
@@ -8,9 +8,10 @@
 use grebedeck::gateway::{GatewaySettings, Tasks};
 use lone::{NAMES, rule, settings};
 
-/// After each reload as many requests were taken as fit, until pauses had been seen anew.
+/// After each reload the gateway admitted as many requests as there were slots until it had
+/// observed pauses again.
 #[test]
-fn pauses_are_forgotten_only_where_the_figures_of_the_load_change() {
+fn pauses_are_reset_only_when_load_settings_change() {
     let settings = settings();
     let gateway = Gateway::new(settings.clone(), NAMES, Tasks::default());
     let pause = Duration::from_millis(90);
--- a/grebedeck/tests/place.rs
+++ b/grebedeck/tests/place.rs
@@ -1,4 +1,4 @@
-//! When waiting for a place is of no use.
+//! When a wait for a slot is pointless.
 
 use std::time::Duration;
 
@@ -6,27 +6,28 @@
 
 const MS: fn(u64) -> Duration = Duration::from_millis;
 
-/// Callers of a service that had been out for longer than outages last were held for their whole objective, and refused then.
+/// Callers of a service whose outage was overdue waited for their whole objective before they were
+/// refused.
 #[test]
-fn nobody_waits_for_a_service_that_is_back_too_late() {
+fn no_wait_for_a_service_expected_back_too_late() {
     let (give_up, now) = (MS(1400), MS(1000));
 
     assert!(NoSlot::Out(MS(401)).is_wait_futile(true, give_up, now));
     assert!(
         !NoSlot::Out(MS(400)).is_wait_futile(true, give_up, now),
-        "it may be back just in time"
+        "the service may be back just in time"
     );
+    assert!(!NoSlot::Full.is_wait_futile(true, give_up, now), "a slot may become free at any time");
+    assert!(!NoSlot::NoTargets.is_wait_futile(true, give_up, now));
     assert!(
-        !NoSlot::Full.is_wait_futile(true, give_up, now),
-        "a place may become free at any time"
+        !NoSlot::Out(MS(900)).is_wait_futile(false, give_up, now),
+        "an outage that is not overdue may end sooner"
     );
-    assert!(!NoSlot::NoTargets.is_wait_futile(true, give_up, now));
-    assert!(!NoSlot::Out(MS(900)).is_wait_futile(false, give_up, now), "it may be back sooner");
 }
 
-/// Operators take a hall back when they wish, which no caller can wait for.
+/// Operators take a hall back at a time that no caller can predict.
 #[test]
-fn nobody_waits_for_a_service_whose_halls_are_evacuated() {
+fn no_wait_for_a_service_in_evacuated_halls() {
     assert!(NoSlot::Evacuated.is_wait_futile(false, MS(9000), MS(0)));
     assert_eq!(NoSlot::Evacuated.word(), "evacuated");
 }
