--- a/grebedeck/src/gateway/buffer.rs
+++ b/grebedeck/src/gateway/buffer.rs
@@ -1,5 +1,4 @@
-//! What is kept in memory for callers and targets until they read it, within parts of the memory that all
-//! requests share.
+//! Buffers for request bodies and responses, within memory budgets that all requests share.
 
 use std::cell::RefCell;
 use std::ops::Deref;
@@ -11,18 +10,18 @@
 use grebedeck_gateway::memory::MemoryBudget;
 use serde_json::json;
 
-/// Bytes that are asked for first where a length is not known; about a small answer.
+/// First reservation if the length is unknown, in bytes; about a small response.
 const FIRST_BYTES: usize = 1024;
 
-/// A part of the memory, shared by all requests.
+/// Memory budget shared by all requests.
 pub struct SharedMemory {
     memory: RefCell<MemoryBudget>,
-    /// Told whenever something was given back.
+    /// Notified whenever memory is released.
     freed: Event,
 }
 
 impl SharedMemory {
-    /// Makes a part of which nothing is taken.
+    /// Creates an unused budget.
     pub fn new(max_bytes: usize) -> Rc<Self> {
         Rc::new(SharedMemory {
             memory: RefCell::new(MemoryBudget::new(max_bytes)),
@@ -30,12 +29,12 @@
         })
     }
 
-    /// Gets the bytes that are taken.
+    /// Reserved bytes.
     pub fn used_bytes(&self) -> usize {
         self.memory.borrow().used_bytes()
     }
 
-    /// Gets the state for a dump.
+    /// State for a dump.
     pub fn dump(&self) -> serde_json::Value {
         let memory = self.memory.borrow();
 
@@ -45,7 +44,7 @@
     }
 }
 
-/// Bytes that are kept; their memory is given back when they are dropped.
+/// Bytes with a memory reservation, which is released when the buffer is dropped.
 pub struct Buffer {
     shared: Rc<SharedMemory>,
     bytes: Vec<u8>,
@@ -53,13 +52,13 @@
 }
 
 impl Buffer {
-    /// Starts with nothing.
+    /// Creates an empty buffer.
     pub fn new(shared: &Rc<SharedMemory>) -> Self {
         Buffer { shared: shared.clone(), bytes: Vec::new(), reserved_bytes: 0 }
     }
 
-    /// Takes memory for bytes to come, so that there are that many in all; waits for it for a while. Tells
-    /// whether it got it.
+    /// Reserves memory for `len_bytes` in all, waiting for it for up to `limit`; returns whether it
+    /// succeeded.
     pub async fn reserve(&mut self, len_bytes: usize, limit: Duration) -> bool {
         if self.try_reserve(len_bytes) {
             return true;
@@ -85,17 +84,18 @@
         timeout(limit, reserving).await.is_ok()
     }
 
-    /// Adds a part once there is memory for it, within a limit; tells whether there was.
+    /// Appends a part once there is memory for it; returns `false` if there is none within `limit`.
     pub async fn push_with_wait(&mut self, part: &[u8], limit: Duration) -> bool {
         self.reserve(self.bytes.len() + part.len(), limit).await && self.push(part)
     }
 
-    /// Adds a part; gives `false` where there is no memory for it.
+    /// Appends a part; returns `false` if there is no memory for it.
     pub fn push(&mut self, part: &[u8]) -> bool {
         let needed = self.bytes.len() + part.len();
 
         if needed > self.reserved_bytes {
-            // Growing by the double keeps copying rare; where there is no memory for that, just enough is taken.
+            // Doubling keeps copying rare; if there is not enough memory for that, only what is
+            // needed is reserved.
             let wanted = needed.max(self.reserved_bytes * 2).max(FIRST_BYTES);
 
             if !self.try_reserve(wanted) && !self.try_reserve(needed) {
@@ -108,12 +108,13 @@
         true
     }
 
-    /// Drops the bytes and goes on to count them, for a holder that has copied them.
+    /// Drops the bytes but keeps their reservation, for a holder that has copied them.
     pub fn discard_bytes(&mut self) {
         self.bytes = Vec::new();
     }
 
-    /// Notes how many bytes are kept elsewhere for this holder; gives `false` where there is no memory for them.
+    /// Sets how many bytes the holder keeps outside this buffer; returns `false` if there is no
+    /// memory for them.
     pub fn set_external_len(&mut self, len_bytes: usize) -> bool {
         if len_bytes < self.reserved_bytes {
             let surplus = self.reserved_bytes - len_bytes;
--- a/grebedeck/src/gateway/pool.rs
+++ b/grebedeck/src/gateway/pool.rs
@@ -1,4 +1,4 @@
-//! Buffer connections to targets.
+//! Pool of idle connections to targets.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -10,37 +10,37 @@
 use grebedeck_http::{Connection, ResponseHead};
 use grebedeck_routing::StartId;
 
-/// How long a connection may rest where the target does not say: long enough for a quiet service's
-/// next request, short enough that most targets still have it.
+/// Idle limit if the target states none: long enough for the next request of a quiet service, short
+/// enough that most targets still keep the connection.
 const DEFAULT_IDLE_LIMIT: Duration = Duration::from_secs(4);
-/// Part of the time that a target promises to keep a connection which is made use of; near its end a
-/// request and the target's close may cross.
+/// Part of the keep-alive time stated by a target that is used; near its end a request and the
+/// target's close may cross.
 const SAFE_KEEP_ALIVE_SHARE: f64 = 0.6;
-/// Most connections kept to one target: about as many as it works on at once.
+/// Most idle connections per target: about as many as the requests that it executes at once.
 pub const MAX_IDLE_PER_TARGET: usize = 16;
 
-/// Connections are kept for one start of a target: what an earlier one left open is no way to the next.
-type Key = (SocketAddr, StartId);
+/// Connections belong to one start of a target; those to an earlier start are useless for the next.
+type PoolKey = (SocketAddr, StartId);
 
-struct Buffer {
+struct IdleConnection {
     connection: Connection,
-    until: Moment,
+    expires_at: Moment,
 }
 
-/// Connections that carry no request just now.
+/// Idle connections, by target.
 #[derive(Default)]
 pub struct ConnectionPool {
-    kept: RefCell<HashMap<Key, Vec<Buffer>>>,
+    idle: RefCell<HashMap<PoolKey, Vec<IdleConnection>>>,
 }
 
 impl ConnectionPool {
-    /// Takes a connection that is open, and on which nothing came that nobody asked for.
+    /// Takes an open connection on which no unsolicited data has arrived.
     pub fn take(&self, target: &TargetEntry, now: Moment) -> Option<Connection> {
-        let mut all = self.kept.borrow_mut();
-        let kept = all.get_mut(&(target.address, target.born_ms))?;
+        let mut all = self.idle.borrow_mut();
+        let idle = all.get_mut(&(target.address, target.born_ms))?;
 
-        while let Some(mut last) = kept.pop() {
-            if last.until > now && last.connection.is_quiet() {
+        while let Some(mut last) = idle.pop() {
+            if last.expires_at > now && last.connection.is_quiet() {
                 return Some(last.connection);
             }
         }
@@ -48,7 +48,8 @@
         None
     }
 
-    /// Keeps a connection after a whole answer, if its head allows that and fewer than `max_kept` are.
+    /// Keeps a connection after a whole response, if its head allows that and fewer than `max_idle`
+    /// are kept.
     pub fn put(
         &self,
         target: &TargetEntry,
@@ -64,7 +65,7 @@
         self.keep(target, connection, max_idle, now + idle_limit_of(head));
     }
 
-    /// Keeps a connection that has carried no request yet, if fewer than `max_kept` are.
+    /// Keeps a connection that has carried no request yet, if fewer than `max_idle` are kept.
     pub fn put_new(
         &self,
         target: &TargetEntry,
@@ -75,33 +76,40 @@
         self.keep(target, connection, max_idle, now + DEFAULT_IDLE_LIMIT);
     }
 
-    fn keep(&self, target: &TargetEntry, connection: Connection, max_idle: usize, until: Moment) {
-        let mut all = self.kept.borrow_mut();
-        let kept = all.entry((target.address, target.born_ms)).or_default();
+    fn keep(
+        &self,
+        target: &TargetEntry,
+        connection: Connection,
+        max_idle: usize,
+        expires_at: Moment,
+    ) {
+        let mut all = self.idle.borrow_mut();
+        let idle = all.entry((target.address, target.born_ms)).or_default();
 
-        if kept.len() < max_idle {
-            kept.push(Buffer { connection, until });
+        if idle.len() < max_idle {
+            idle.push(IdleConnection { connection, expires_at });
         }
     }
 
-    /// Closes connections to other starts at a target's address, which take places among those that it accepts.
+    /// Closes connections to other starts at a target's address, which count towards the
+    /// connections that it accepts.
     pub fn close_other_starts(&self, target: &TargetEntry) {
         let is_other =
-            |(address, birth): &Key| *address == target.address && *birth != target.born_ms;
+            |(address, birth): &PoolKey| *address == target.address && *birth != target.born_ms;
 
-        self.kept.borrow_mut().retain(|key, _| !is_other(key));
+        self.idle.borrow_mut().retain(|key, _| !is_other(key));
     }
 
-    /// Closes connections that have rested for too long.
+    /// Closes connections whose idle limit has passed.
     pub fn close_expired(&self, now: Moment) {
-        self.kept.borrow_mut().retain(|_, kept| {
-            kept.retain(|k| k.until > now);
-            !kept.is_empty()
+        self.idle.borrow_mut().retain(|_, idle| {
+            idle.retain(|c| c.expires_at > now);
+            !idle.is_empty()
         });
     }
 }
 
-/// Gets how long a connection may rest after an answer.
+/// Idle limit of a connection after a response.
 fn idle_limit_of(head: &ResponseHead) -> Duration {
     let text = head.headers.text("keep-alive").unwrap_or_default();
     let timeout = text.split(',').find_map(|part| part.trim().strip_prefix("timeout="));
--- a/grebedeck/src/gateway/tempo.rs
+++ b/grebedeck/src/gateway/tempo.rs
@@ -1,4 +1,4 @@
-//! How fast the events of one stream come.
+//! Timing of the events of one stream.
 
 use std::time::Duration;
 
@@ -6,19 +6,20 @@
 
 use super::trace::Decision;
 
-/// How fast the events of a stream have come.
+/// Time to the first event, and the pauses between events, of one stream.
 #[derive(Default)]
 pub struct EventTiming {
     first_event: Option<Duration>,
     event_at: Option<Moment>,
     longest_pause: Duration,
     longest_pause_ended: Option<Moment>,
-    /// Whether the first event or a pause took longer than the route wants.
+    /// Whether the first event or a pause took longer than the route allows.
     pub is_late: bool,
 }
 
 impl EventTiming {
-    /// Takes in an event of a request that arrived then; gives the pause since the one before it.
+    /// Records an event of a request that arrived at `arrived`; returns the pause since the
+    /// previous event.
     pub fn record_event(&mut self, arrived: Moment, now: Moment) -> Option<Duration> {
         let Some(before) = self.event_at.replace(now) else {
             self.first_event = Some(now - arrived);
@@ -34,7 +35,7 @@
         Some(pause)
     }
 
-    /// Gets what the trace of a late stream tells.
+    /// Trace entry of a late stream.
     pub fn decision(&self, arrived: Moment) -> Decision {
         Decision::StreamSlow {
             first_event: self.first_event.unwrap_or_default(),
--- a/grebedeck/src/gateway/writer.rs
+++ b/grebedeck/src/gateway/writer.rs
@@ -9,25 +9,25 @@
 
 use super::service::Gateway;
 
-/// How long a caller may take nothing of what is written to it: as long as callers stay with a stream that says
-/// nothing, and less than the seconds after which a target cuts off an answer that stays unread.
+/// Longest time without progress on a write to a caller: as long as callers stay with a silent
+/// stream, and less than the few seconds after which a target cuts off an unread response.
 pub const STALL_LIMIT: Duration = Duration::from_secs(2);
 
 /// How a write to a caller ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteOutcome {
-    /// The caller's system has all of it.
+    /// The caller's system has received all bytes.
     Complete,
-    /// The caller has gone.
+    /// The caller has left.
     Gone,
-    /// The caller took nothing for [`STALL_LIMIT`].
+    /// The caller accepted nothing for [`STALL_LIMIT`].
     Stalled,
-    /// The time was over.
+    /// The deadline passed.
     TimedOut,
 }
 
 impl WriteOutcome {
-    /// Gets a short word for logs.
+    /// Label in logs.
     pub fn word(self) -> &'static str {
         match self {
             WriteOutcome::Complete => "whole",
@@ -38,7 +38,7 @@
     }
 }
 
-/// Writes bytes until a time.
+/// Writes bytes, with a deadline.
 pub async fn write(
     gateway: &Gateway,
     connection: &Connection,
@@ -48,7 +48,8 @@
     let mut timeouts = WriteTimeouts::new(STALL_LIMIT, until, gateway.now());
 
     while !bytes.is_empty() {
-        // What is taken at once is written also where the time is over, such as after a freeze of this process.
+        // A last attempt is made even after the deadline, such as after a freeze of this process,
+        // so that bytes the socket accepts at once are written.
         let left = match timeouts.remaining(gateway.now()) {
             WriteWait::For(left) => left,
             WriteWait::Stalled | WriteWait::TimedOut => Duration::ZERO,
