--- a/grebedeck/src/gateway/attempt.rs
+++ b/grebedeck/src/gateway/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt of a request at one target.
+//! One attempt to execute a request on a target: connect, send, and classify the response head.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -11,7 +11,7 @@
 use grebedeck_gateway::{TargetEntry, Verdict, judge};
 use grebedeck_http::{BodyDecoder, Connection, Decoded, HttpError, ResponseHead, response_framing};
 
-use super::opened::{OpenAnswer, SentRequest};
+use super::opened::{OpenResponse, SentRequest};
 use super::options::{CONNECT_LIMIT, MAX_ANSWER_HEAD_BYTES, UNREAD_BYTES};
 use super::place::Slot;
 use super::refusing::refusal_cause;
@@ -20,27 +20,27 @@
 use super::trace::Decision;
 use super::tried::{AttemptFailure, FailureCause, Refusal};
 
-/// Answers of earlier requests that are read away before a connection is given up.
-const MAX_SURPLUS_ANSWERS: u32 = 2;
+/// Responses to earlier requests that are skipped before a connection is given up.
+const MAX_STALE_RESPONSES: u32 = 2;
 
 /// Counts a request as in flight on a target until it is dropped.
 pub struct InFlight {
     gateway: Rc<Gateway>,
     target: Arc<TargetEntry>,
-    success: Option<bool>,
+    is_success: Option<bool>,
 }
 
 impl InFlight {
-    /// Takes a place on a target for a request.
+    /// Counts a request on a target.
     pub fn new(gateway: &Rc<Gateway>, target: &Arc<TargetEntry>) -> Self {
         gateway.chooser.borrow_mut().record_sent_to_start(&target.id, target.born_ms);
 
-        InFlight { gateway: gateway.clone(), target: target.clone(), success: None }
+        InFlight { gateway: gateway.clone(), target: target.clone(), is_success: None }
     }
 
-    /// Notes what the request showed of the target's health.
-    pub fn record_success(&mut self, success: bool) {
-        self.success = Some(success);
+    /// Records whether the request shows the target to be healthy.
+    pub fn record_outcome(&mut self, is_success: bool) {
+        self.is_success = Some(is_success);
     }
 }
 
@@ -48,19 +48,19 @@
     fn drop(&mut self) {
         let now = self.gateway.now();
         let (id, birth) = (&self.target.id, self.target.born_ms);
-        self.gateway.chooser.borrow_mut().record_end_at_start(id, birth, self.success, now);
+        self.gateway.chooser.borrow_mut().record_end_at_start(id, birth, self.is_success, now);
         self.gateway.freed.notify(usize::MAX);
     }
 }
 
-/// Sends a request to the target of its place and waits for the head of its answer.
+/// Sends a request to the target of its slot and waits for the response head.
 pub async fn open<'a>(
     gateway: &Rc<Gateway>,
     request: &'a RoutedRequest,
-    place: Slot,
-) -> Result<OpenAnswer<'a>, AttemptFailure> {
-    let target = place.target.clone();
-    let opened = send(gateway, request, place).await;
+    slot: Slot,
+) -> Result<OpenResponse<'a>, AttemptFailure> {
+    let target = slot.target.clone();
+    let opened = send(gateway, request, slot).await;
 
     match &opened {
         Ok(_) => {
@@ -68,7 +68,8 @@
 
             gateway.note_target_took(&target);
 
-            // That an earlier start took a request says nothing of the one that is there now.
+            // That an earlier start of the target accepted a request says nothing about the current
+            // one.
             if !gateway.is_earlier_start(&target) {
                 gateway.note_taken(&request.service);
             }
@@ -91,17 +92,18 @@
     request.trace.add(gateway.now(), decision);
 
     match cause {
-        // Where all places are taken, or nothing was sent, nothing is said of the service.
+        // A full target, or a request that was not sent, says nothing about the service.
         FailureCause::Full | FailureCause::Withdrawn => {}
-        // A target that asks for rest speaks for itself: with four refusals in a row taken for an outage, a service was
-        // said to be out 36 times in 9 s while eleven of its sixteen targets served.
-        _ if failure.refusal.is_some_and(|refusal| refusal.asked.is_some()) => {}
-        // The target that was meant is gone, and another has its address.
+        // A target that asks for a delay speaks only for itself. With four refusals in a row
+        // counted as an outage, a service was declared out 36 times in 9 s while eleven of its
+        // sixteen targets served.
+        _ if failure.refusal.is_some_and(|refusal| refusal.requested_delay.is_some()) => {}
+        // The intended target is gone, and another one has its address.
         FailureCause::OtherTarget => gateway.change_targets(|targets, _| {
             targets.remove(target);
             Vec::new()
         }),
-        // So does that an earlier one did not.
+        // A failure of an earlier start says nothing about the service either.
         _ if gateway.is_earlier_start(target) => {}
         _ => gateway.note_not_taken(&request.service, cause),
     }
@@ -110,16 +112,16 @@
 async fn send<'a>(
     gateway: &Rc<Gateway>,
     request: &'a RoutedRequest,
-    place: Slot,
-) -> Result<OpenAnswer<'a>, AttemptFailure> {
-    let Slot { target, mut in_flight, permit } = place;
+    slot: Slot,
+) -> Result<OpenResponse<'a>, AttemptFailure> {
+    let Slot { target, mut in_flight, permit } = slot;
     let target = &target;
     let left = request.deadline.saturating_sub(gateway.now());
 
     let mut connection = match connect(gateway, target, left).await {
         Ok(connection) => connection,
         Err(error) => {
-            in_flight.record_success(false);
+            in_flight.record_outcome(false);
 
             if error.is_refused() && !gateway.is_earlier_start(target) {
                 gateway.suspect_start(target);
@@ -129,7 +131,8 @@
         }
     };
 
-    // Whoever got a place, or waited for a connection, before its request was known to crash targets is stopped here.
+    // The request may have been found to crash targets, or the target may have left, while the
+    // request waited for its slot or the connection.
     let is_stopped = !gateway.may_still_send(target) || !gateway.may_run(request);
 
     if is_stopped || !gateway.use_permit(target, permit) {
@@ -159,7 +162,7 @@
         gateway.note_broken(request, target, sent_at);
     }
 
-    in_flight.record_success(false);
+    in_flight.record_outcome(false);
     Err(AttemptFailure::may_have_run(cause))
 }
 
@@ -176,15 +179,16 @@
             new
         }
     };
-    // Whatever way the request is given up, the target is not to read it later: in a day on which targets and
-    // gateways stood still for 4 s, 4 requests ran 1.5 s after their callers had left; with this none did.
+    // However the request is given up, the target must not read it later. Without this, 4 requests
+    // ran 1.5 s after their callers had left, on a day on which targets and gateways froze for 4 s;
+    // with it none did.
     connection.begin_exchange()?;
 
     Ok(connection)
 }
 
-/// Reads the head of the answer to this request. Answers to earlier requests on the connection, which
-/// a faulty target may send again, are read away.
+/// Reads the head of the response to this request. Skips responses to earlier requests on the
+/// connection, which a faulty target may repeat.
 async fn read_matching_head(
     gateway: &Gateway,
     request: &RoutedRequest,
@@ -193,7 +197,7 @@
 ) -> Result<ResponseHead, HttpError> {
     let id = request.request.id(&gateway.names);
 
-    for _ in 0..=MAX_SURPLUS_ANSWERS {
+    for _ in 0..=MAX_STALE_RESPONSES {
         let head = read_final_head(connection).await?;
         let echoed = head.headers.text(gateway.names.request_id);
 
@@ -214,7 +218,7 @@
     Err(HttpError::Malformed("answers of other requests"))
 }
 
-/// Reads a head that is not an interim one.
+/// Reads a head that is not interim (1xx).
 async fn read_final_head(connection: &mut Connection) -> Result<ResponseHead, HttpError> {
     loop {
         let head = connection.read_response_head(MAX_ANSWER_HEAD_BYTES).await?;
@@ -225,7 +229,8 @@
     }
 }
 
-/// Takes in what a target says of itself beside the answer. Where another one has its address, that one speaks.
+/// Records the load, limit and refusal that a target states in its response. Ignored if another
+/// target has the address, as the statements are then about that one.
 fn record_target_state(
     gateway: &Gateway,
     sent: &SentRequest,
@@ -242,19 +247,20 @@
     gateway.note_load_word(target, head, load);
     gateway.record_limit(target, head, verdict, sent.sent_at);
 
-    if verdict == Verdict::Refused || refusal.asked.is_some() {
+    if verdict == Verdict::Refused || refusal.requested_delay.is_some() {
         gateway.note_refusal(target, refusal, load);
     }
 }
 
 fn refusal(gateway: &Gateway, head: &ResponseHead) -> Refusal {
-    let asked = requested_retry_after(head.status, head.headers.all(gateway.names.retry_after));
+    let requested_delay =
+        requested_retry_after(head.status, head.headers.all(gateway.names.retry_after));
 
-    Refusal { status: head.status, asked }
+    Refusal { status: head.status, requested_delay }
 }
 
-/// Closes a connection in order whose target has refused the request, where the refusal is here whole. It is not
-/// waited for.
+/// Closes the connection of a refused request in order if the whole refusal has arrived; does not
+/// wait for the rest.
 fn drain_refusal(connection: &mut Connection, decoder: &mut BodyDecoder) {
     while let Ok(Decoded::Data(_)) = decoder.decode(connection.buffer()) {}
 
@@ -269,7 +275,7 @@
     mut connection: Connection,
     head: ResponseHead,
     mut in_flight: InFlight,
-) -> Result<OpenAnswer<'a>, AttemptFailure> {
+) -> Result<OpenResponse<'a>, AttemptFailure> {
     let is_signed = head.headers.get(gateway.names.signature).is_some();
     let says_not_run = head.headers.get(gateway.names.not_run).is_some();
     let verdict = judge(head.status, is_signed, says_not_run);
@@ -278,7 +284,7 @@
     record_target_state(gateway, &sent, &head, verdict, refusal, load);
 
     let Ok(framing) = response_framing(&head, &sent.request.request.head.method) else {
-        in_flight.record_success(false);
+        in_flight.record_outcome(false);
         return Err(AttemptFailure::may_have_run(FailureCause::Unusable));
     };
     let mut decoder = BodyDecoder::new(framing);
@@ -290,15 +296,23 @@
     match verdict {
         Verdict::Refused => return Err(AttemptFailure::refused(refusal_cause(load), refusal)),
         Verdict::OtherTarget => {
-            in_flight.record_success(false);
+            in_flight.record_outcome(false);
             return Err(AttemptFailure::not_run(FailureCause::OtherTarget));
         }
         Verdict::Unusable => {
-            in_flight.record_success(false);
+            in_flight.record_outcome(false);
             return Err(AttemptFailure::may_have_run(FailureCause::Unusable));
         }
         Verdict::Pass | Verdict::Failure => {}
     }
 
-    Ok(OpenAnswer { head, verdict, connection, decoder, sent, in_flight, gateway: gateway.clone() })
+    Ok(OpenResponse {
+        head,
+        verdict,
+        connection,
+        decoder,
+        sent,
+        in_flight,
+        gateway: gateway.clone(),
+    })
 }
--- a/grebedeck/src/gateway/caller.rs
+++ b/grebedeck/src/gateway/caller.rs
@@ -1,4 +1,4 @@
-//! One caller's connection: its requests, one after another.
+//! Serves a caller's connection: reads its requests one after another and writes the responses.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -19,21 +19,21 @@
 use super::request::{CallerRequest, RoutedRequest};
 use super::service::Gateway;
 use super::trace::{Decision, Outcome, Trace};
-use super::whole::BufferedAnswer;
+use super::whole::BufferedResponse;
 use super::writer::{self, WriteOutcome};
 use super::{stop, stream, whole};
 use crate::random::ProcessRandom;
 use crate::settings::millis;
 
-/// How long a caller's body may take: longer than any route holds a request.
+/// Time limit on receiving a request body; longer than any route holds a request.
 const BODY_LIMIT: Duration = Duration::from_secs(10);
-/// How long a caller may take to read an answer that is sent whole, however little it takes at a time.
+/// Time limit on writing a buffered response, even while the caller makes some progress.
 const WRITE_LIMIT: Duration = Duration::from_secs(10);
 
 /// Why a request could not be read.
 enum ReadError {
     Failed(HttpError),
-    /// There is no memory for its body.
+    /// There is no memory for the body.
     NoMemory,
 }
 
@@ -46,9 +46,9 @@
 /// Whether a connection may carry another request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reuse {
-    /// It may.
+    /// The connection stays open.
     Keep,
-    /// It must be closed.
+    /// The connection must be closed.
     Close,
 }
 
@@ -59,7 +59,7 @@
     let mut is_new = true;
 
     loop {
-        // A connection that was accepted after the signal to stop may still bring one request.
+        // A connection accepted after the stop signal may still bring one request.
         let closes_at_stop = !std::mem::take(&mut is_new);
 
         if !wait_for_request(&gateway, &mut connection, closes_at_stop).await {
@@ -74,7 +74,7 @@
     }
 }
 
-/// Waits until a request begins to arrive; tells whether one did.
+/// Waits for the first bytes of a request; returns whether any arrived.
 async fn wait_for_request(
     gateway: &Gateway,
     connection: &mut Connection,
@@ -120,7 +120,7 @@
 
     if gateway.stop.refuses(leave, gateway.now()) {
         gateway.counters.refusals.add("stopping");
-        let answer = BufferedAnswer::not_ready(&request, &gateway.names);
+        let answer = BufferedResponse::not_ready(&request, &gateway.names);
         return write_buffered(gateway, connection, answer, Reuse::Close).await;
     }
 
@@ -138,8 +138,9 @@
     };
     let service = service.to_string();
     let by_urgency = gateway.uses(Mechanism::UrgencyOrder);
-    let rank = table.rank(&service, admitted.urgency()).filter(|_| by_urgency);
-    let routed = Rc::new(RoutedRequest::new(request, admitted, service, rank, &gateway.names));
+    let urgency_level = table.rank(&service, admitted.urgency()).filter(|_| by_urgency);
+    let routed =
+        Rc::new(RoutedRequest::new(request, admitted, service, urgency_level, &gateway.names));
 
     if routed.admitted.rule.kind.is_stream() {
         return stream::serve(gateway, &routed, connection, reuse).await;
@@ -148,7 +149,7 @@
     serve_buffered(gateway, &routed, connection, reuse).await
 }
 
-/// Serves a request whose answer is read whole before the caller gets it.
+/// Serves a request whose response is buffered before the caller gets it.
 async fn serve_buffered(
     gateway: &Rc<Gateway>,
     routed: &Rc<RoutedRequest>,
@@ -159,7 +160,8 @@
         let answering = whole::serve(gateway, routed);
         futures::select! {
             answer = answering.fuse() => Some(answer),
-            // Dropping the attempt resets the connection to the target, which drops the request.
+            // Dropping the attempt resets the connection to the target, so the target drops the
+            // request.
             () = connection.closed(READ_AHEAD_BYTES).fuse() => None,
         }
     };
@@ -170,7 +172,7 @@
     };
     let took = gateway.now() - routed.request.arrived;
     gateway.counters.answer_times.note(took, "whole");
-    let end = answer.end();
+    let end = answer.outcome();
     let written = write_answer(gateway, connection, answer, reuse).await;
     let is_late = took > routed.admitted.rule.objective;
     record_written(gateway, routed, end, written, is_late);
@@ -178,7 +180,7 @@
     if written == WriteOutcome::Complete { reuse } else { Reuse::Close }
 }
 
-/// Notes how a request ends whose answer was written.
+/// Records the outcome of a request after its response was written.
 fn record_written(
     gateway: &Gateway,
     routed: &Rc<RoutedRequest>,
@@ -191,40 +193,40 @@
     }
 
     gateway.counters.unread.add("answer_stalled");
-    routed.trace.add(gateway.now(), Decision::AnswerUnread { written, last_event_id: None });
+    routed.trace.add(gateway.now(), Decision::ResponseUnread { written, last_event_id: None });
     gateway.note_end(&routed.trace, Outcome::CallerStalled, is_late);
 }
 
-/// Makes the answer to a request that the configuration does not allow.
+/// Response to a request that the configuration does not allow.
 fn deny(
     gateway: &Gateway,
     request: &CallerRequest,
     reason: Denied,
     version: SiteVersion,
-) -> BufferedAnswer {
-    let answer = BufferedAnswer::denied(reason, request, &gateway.names);
+) -> BufferedResponse {
+    let answer = BufferedResponse::denied(reason, request, &gateway.names);
     let trace = Trace::new(request.id(&gateway.names), request.arrived);
     trace.add(gateway.now(), Decision::Denied { reason, version });
     gateway.counters.refusals.add(reason.label());
-    gateway.note_end(&trace, answer.end(), false);
+    gateway.note_end(&trace, answer.outcome(), false);
 
     answer
 }
 
-/// Gets the routes in force; at the start of the process, waits a moment for the first ones.
+/// Routing table in force; waits briefly for the first one after the process started.
 async fn wait_for_table(gateway: &Gateway) -> Rc<RouteTable> {
     let known = async {
         while gateway.table().version() == 0 {
             gateway.freed.listen().await;
         }
     };
-    // A process that knows no configuration by then says so.
+    // A process that has no configuration by then answers the request as not ready.
     let _ = timeout(SITE_WAIT, known).await;
 
     gateway.table()
 }
 
-/// Reads a request whole.
+/// Reads a whole request.
 async fn read_request(
     gateway: &Rc<Gateway>,
     connection: &mut Connection,
@@ -305,15 +307,15 @@
     head.headers.push("connection", "close");
     let mut bytes = Vec::new();
     head.write(&mut bytes);
-    // The caller is gone or gets its answer; there is nobody else to tell.
+    // The caller has left or gets its response; there is nobody else to notify.
     let _ = writer::write(gateway, connection, &bytes, gateway.now() + WRITE_LIMIT).await;
 }
 
-/// Writes an answer that is here whole; tells whether the connection may carry another request.
+/// Writes a buffered response; returns whether the connection may carry another request.
 pub async fn write_buffered(
     gateway: &Gateway,
     connection: &Connection,
-    answer: BufferedAnswer,
+    answer: BufferedResponse,
     reuse: Reuse,
 ) -> Reuse {
     match write_answer(gateway, connection, answer, reuse).await {
@@ -325,7 +327,7 @@
 async fn write_answer(
     gateway: &Gateway,
     connection: &Connection,
-    answer: BufferedAnswer,
+    answer: BufferedResponse,
     reuse: Reuse,
 ) -> WriteOutcome {
     let until = gateway.now() + WRITE_LIMIT;
--- a/grebedeck/src/gateway/opened.rs
+++ b/grebedeck/src/gateway/opened.rs
@@ -1,4 +1,4 @@
-//! An answer that has begun, and the connection on which it comes.
+//! A response whose head has arrived, and the connection that delivers its body.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -18,17 +18,17 @@
 pub struct SentRequest<'a> {
     /// The request.
     pub request: &'a RoutedRequest,
-    /// The target.
+    /// Target.
     pub target: Arc<TargetEntry>,
-    /// When it was sent.
+    /// When the request was sent.
     pub sent_at: Moment,
 }
 
-/// An answer whose head is here.
-pub struct OpenAnswer<'a> {
-    /// The head.
+/// A response whose head has arrived.
+pub struct OpenResponse<'a> {
+    /// Response head.
     pub head: ResponseHead,
-    /// What it says.
+    /// Classification of the head.
     pub verdict: Verdict,
     pub(super) connection: Connection,
     pub(super) decoder: BodyDecoder,
@@ -37,8 +37,8 @@
     pub(super) gateway: Rc<Gateway>,
 }
 
-impl OpenAnswer<'_> {
-    /// Reads the next part of the body, or `None` at its end.
+impl OpenResponse<'_> {
+    /// Reads the next part of the body; `None` at its end.
     pub async fn next_part(&mut self) -> Result<Option<bytes::Bytes>, HttpError> {
         self.connection.read_body(&mut self.decoder).await
     }
@@ -52,11 +52,13 @@
         })
     }
 
-    /// Reads the whole body, within the memory for answers, and keeps the connection for other requests. Where there
-    /// is no memory the target is not read from, and after a while the attempt is given up.
+    /// Reads the whole body within the memory budget for responses, and returns the connection to
+    /// the pool. While there is no memory the target is not read from; after [`MEMORY_WAIT`] the
+    /// attempt fails.
     pub async fn read_whole(mut self) -> Result<(ResponseHead, Buffer), FailureCause> {
         let mut body = Buffer::new(&self.gateway.answers);
-        // A known length is reserved at once, so that no two answers wait for each other's memory.
+        // A known length is reserved at once, so that no two responses wait for each other's
+        // memory.
         let len_bytes = self.decoder.left_bytes().unwrap_or(0).min(MAX_WHOLE_BYTES);
 
         if !body.reserve(len_bytes, MEMORY_WAIT).await {
@@ -82,10 +84,11 @@
 
     /// Ends an attempt whose body has been read to its end.
     pub fn finish(mut self, is_success: bool) {
-        self.in_flight.record_success(is_success);
+        self.in_flight.record_outcome(is_success);
         self.connection.end_exchange();
 
-        // An answer that ends with its connection ends alike where its target crashes.
+        // A response that is delimited by the end of its connection looks the same if its target
+        // crashes.
         if !self.decoder.is_ended() {
             return;
         }
@@ -100,9 +103,9 @@
         }
     }
 
-    /// Ends an attempt whose answer broke.
+    /// Ends an attempt whose response broke.
     pub fn record_broken(mut self) {
-        self.in_flight.record_success(false);
+        self.in_flight.record_outcome(false);
         self.note_broken();
     }
 
--- a/grebedeck/src/gateway/refusing.rs
+++ b/grebedeck/src/gateway/refusing.rs
@@ -56,12 +56,12 @@
 
     /// Takes in a target's refusal. Of one that says that it is full its load tells enough, unless it asks for rest.
     pub fn note_refusal(&self, target: &TargetEntry, refusal: Refusal, load: Option<TargetLoad>) {
-        if refusal.asked.is_none() && load.is_some_and(|load| !load.has_room()) {
+        if refusal.requested_delay.is_none() && load.is_some_and(|load| !load.has_room()) {
             return self.refusals.borrow_mut().record_full(&target.id);
         }
 
         let now = self.now();
-        let news = self.refusals.borrow_mut().record_refusal(target, refusal.asked, now);
+        let news = self.refusals.borrow_mut().record_refusal(target, refusal.requested_delay, now);
         let (id, status) = (target.id.as_str(), refusal.status);
 
         match news {
--- a/grebedeck/src/gateway/request.rs
+++ b/grebedeck/src/gateway/request.rs
@@ -1,4 +1,4 @@
-//! A caller's request, whole, and how it looks towards a target.
+//! A caller's request, fully received, and the head that is sent to targets for it.
 
 use std::cell::{Cell, OnceCell};
 use std::time::Duration;
@@ -12,47 +12,48 @@
 use super::buffer::Buffer;
 use super::trace::{Decision, Trace};
 
-/// The least urgent rank that is told to targets: they know ten.
+/// Largest (least urgent) priority sent to targets, which have ten levels.
 const LOWEST_PRIORITY: u8 = 9;
 
 /// A caller's request.
 pub struct CallerRequest {
-    /// Its head, as it came.
+    /// Request head as received.
     pub head: RequestHead,
-    /// Its body, whole.
+    /// Whole body.
     pub body: Buffer,
-    /// When it began to arrive.
+    /// When the request began to arrive.
     pub arrived: Moment,
 }
 
-/// A request that the configuration allows, with what is needed to send it.
+/// A request that the configuration allows, with the data needed to send it.
 pub struct RoutedRequest {
     /// The caller's request.
     pub request: CallerRequest,
-    /// Its route and organisation.
+    /// Route and organisation.
     pub admitted: Admitted,
-    /// The service that it goes to.
+    /// Service that the request goes to.
     pub service: String,
-    /// Its rank among the requests for its service, where they differ in urgency.
-    pub rank: Option<u8>,
-    /// When it is given up.
+    /// Index of the request's urgency among its service's levels; `None` where requests do not
+    /// differ.
+    pub urgency_level: Option<u8>,
+    /// When the request is given up.
     pub deadline: Moment,
-    /// The last event that the caller has got, for a stream.
+    /// Last event of a stream that the caller has.
     pub last_event_id: Cell<Option<u64>>,
-    /// The decisions on it.
+    /// Decisions on the request.
     pub trace: Trace,
-    /// The headers that are passed on to any target.
+    /// Headers that are sent to every target.
     headers: Headers,
     fingerprint: OnceCell<Fingerprint>,
 }
 
 impl CallerRequest {
-    /// Gets the caller's id of the request, for logs.
+    /// Request id set by the caller, for logs; `-` if there is none.
     pub fn id<'a>(&'a self, names: &HeaderNames) -> &'a str {
         self.head.headers.text(names.request_id).unwrap_or("-")
     }
 
-    /// Gets the key with which the caller proves its organisation.
+    /// API key that identifies the caller's organisation.
     pub fn key<'a>(&'a self, names: &HeaderNames) -> Option<&'a str> {
         let (scheme, key) =
             self.head.headers.text(names.authorization)?.split_once(char::is_whitespace)?;
@@ -60,19 +61,19 @@
         scheme.eq_ignore_ascii_case(names.key_scheme).then(|| key.trim())
     }
 
-    /// Tells whether it goes on with a stream that broke.
+    /// Whether the caller resumes a stream that broke.
     pub fn is_resume(&self, names: &HeaderNames) -> bool {
         self.head.headers.get(names.last_event_id).is_some()
     }
 
-    /// Gets the tokens of its prompt, if it says so.
+    /// Prompt length in tokens, if the caller states it.
     pub fn prompt_tokens(&self, names: &HeaderNames) -> Option<u64> {
         let prompt = self.head.headers.text(names.tokens)?.split(',').next()?;
 
         prompt.trim().parse().ok()
     }
 
-    /// Gets how long the caller waits, if it says so.
+    /// Time limit requested by the caller, if any.
     pub fn requested_timeout(&self, names: &HeaderNames) -> Option<Duration> {
         let text = self.head.headers.text(names.deadline_ms)?;
 
@@ -81,24 +82,24 @@
 }
 
 impl RoutedRequest {
-    /// Makes the request for its route.
+    /// Creates the request for its route, and starts its trace.
     pub fn new(
         request: CallerRequest,
         admitted: Admitted,
         service: String,
-        rank: Option<u8>,
+        urgency_level: Option<u8>,
         names: &HeaderNames,
     ) -> Self {
         let limit = admitted.rule.time_limit;
-        let patience = request.requested_timeout(names).unwrap_or(limit).min(limit);
-        let deadline = request.arrived + patience;
+        let timeout = request.requested_timeout(names).unwrap_or(limit).min(limit);
+        let deadline = request.arrived + timeout;
         let headers = forwarded_headers(&request, &admitted, names);
         let trace = Trace::new(request.id(names), request.arrived);
         let decision = Decision::Admitted {
             route: admitted.rule.name.clone(),
             service: service.clone(),
             version: admitted.version,
-            left: patience,
+            left: timeout,
         };
         trace.add(request.arrived, decision);
 
@@ -106,7 +107,7 @@
             request,
             admitted,
             service,
-            rank,
+            urgency_level,
             deadline,
             last_event_id: Cell::default(),
             trace,
@@ -115,7 +116,7 @@
         }
     }
 
-    /// Gets the identity that it has in common with other tries of its caller.
+    /// Fingerprint that the request shares with its caller's retries.
     pub fn fingerprint(&self) -> Fingerprint {
         *self.fingerprint.get_or_init(|| {
             let head = &self.request.head;
@@ -131,21 +132,21 @@
         })
     }
 
-    /// Tells whether the time of the request is over.
+    /// Whether the deadline has passed.
     pub fn is_past_deadline(&self, now: Moment) -> bool {
         now >= self.deadline
     }
 
-    /// Gets the head to send to a target, with `left` of the time. A stream that another target goes on
-    /// with names the last event that the caller has.
+    /// Encoded head for a target, with the time `left` to the deadline. For a resumed stream it
+    /// contains the last event that the caller has.
     pub fn head_for(&self, target: &TargetEntry, left: Duration, names: &HeaderNames) -> Vec<u8> {
         let mut headers = self.headers.clone();
         headers.push(names.deadline_ms, left.as_millis().to_string());
         headers.push(names.expected_target, target.id.as_str());
 
-        // Those that wait at the target are let in by it, as those who wait here are.
-        if let Some(rank) = self.rank {
-            headers.push(names.priority, rank.min(LOWEST_PRIORITY).to_string());
+        // Targets order their own queues by priority, as the gateway does.
+        if let Some(urgency_level) = self.urgency_level {
+            headers.push(names.priority, urgency_level.min(LOWEST_PRIORITY).to_string());
         }
 
         if let Some(id) = self.last_event_id.get() {
@@ -165,11 +166,11 @@
     }
 }
 
-/// Gets the headers that go to every target: the caller's own, without those that this process sets.
+/// Headers for every target: the caller's own without those that the gateway sets.
 fn forwarded_headers(request: &CallerRequest, admitted: &Admitted, names: &HeaderNames) -> Headers {
     let received = &request.head.headers;
     let mut headers = received.end_to_end();
-    // A body that came in chunks is sent whole, so its length is always known.
+    // A chunked body is sent with its length, as the whole body is known.
     let has_body =
         received.get("content-length").is_some() || received.get("transfer-encoding").is_some();
 
--- a/grebedeck/src/gateway/stream.rs
+++ b/grebedeck/src/gateway/stream.rs
@@ -1,8 +1,9 @@
-//! Requests whose answers are streams of events.
+//! Serves requests whose responses are streams of events.
 //!
-//! Whole events are passed on as they come. Where the route allows it, another target goes on with a
-//! stream that broke, behind the last event that the caller has; the caller keeps the head that it got
-//! first. A stream that cannot go on ends with its connection, so that it never looks whole.
+//! Complete events are forwarded as they arrive. If the route allows it, a stream that broke is
+//! resumed on another target after the last event that the caller has; the caller keeps the head
+//! that it got first. A stream that cannot be resumed ends with its connection, so that it never
+//! looks complete.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -17,7 +18,7 @@
 use super::attempt;
 use super::buffer::Buffer;
 use super::caller::{Reuse, write_buffered};
-use super::opened::OpenAnswer;
+use super::opened::OpenResponse;
 use super::options::{MAX_EVENT_BYTES, READ_AHEAD_BYTES};
 use super::place::{self, NoSlot};
 use super::request::RoutedRequest;
@@ -25,26 +26,27 @@
 use super::tempo::EventTiming;
 use super::trace::{Decision, Outcome};
 use super::tried::AttemptHistory;
-use super::whole::BufferedAnswer;
+use super::whole::BufferedResponse;
 use super::writer::{self, WriteOutcome};
 
-/// How long a caller may hold a target up before a break is taken to be the caller's fault: targets cut off what
-/// stays unread for some seconds, and no write to a caller that reads takes as long.
+/// Duration of a write after which the end of the target's connection is attributed to the caller:
+/// targets cut off responses that stay unread for some seconds, and no write to a caller that reads
+/// takes as long as this.
 const BLOCKED_WRITE: Duration = Duration::from_millis(500);
 
 /// How one target's part of a stream ended.
 enum PartEnd {
-    /// The stream is whole; its status.
+    /// The stream is complete; its status.
     Complete(u16),
-    /// The target broke off.
+    /// The target's connection broke.
     Broken,
-    /// The stream goes on at another target, as this one is slow.
+    /// The stream moves to another target because this one is slow.
     Moved,
-    /// The caller has gone.
+    /// The caller has left.
     CallerGone,
-    /// The caller takes nothing more.
+    /// The caller accepts no more data.
     CallerStalled,
-    /// The time is over.
+    /// The deadline has passed.
     TimedOut,
 }
 
@@ -56,16 +58,16 @@
     reuse: Reuse,
     head_sent: bool,
     tried: AttemptHistory,
-    /// Whether it was found that the stream cannot go on elsewhere, so that it is not asked at each event.
+    /// Whether the stream was found unable to move, so that this is not checked at each event.
     is_pinned: bool,
-    /// When the request got its newest place.
-    placed_at: Option<Moment>,
+    /// When the request acquired its latest slot.
+    acquired_at: Option<Moment>,
     timing: EventTiming,
-    /// Whether the caller held its target up with what was written last.
+    /// Whether the latest write to the caller blocked for [`BLOCKED_WRITE`] or longer.
     write_blocked: bool,
 }
 
-/// Serves a request; the answer is written to the caller as it comes.
+/// Serves a request; writes the response to the caller as it arrives.
 pub async fn serve(
     gateway: &Rc<Gateway>,
     request: &Rc<RoutedRequest>,
@@ -81,7 +83,7 @@
         head_sent: false,
         tried: AttemptHistory::default(),
         is_pinned: false,
-        placed_at: None,
+        acquired_at: None,
         timing: EventTiming::default(),
         write_blocked: false,
     };
@@ -107,17 +109,17 @@
                     () = self.connection.closed(READ_AHEAD_BYTES).fuse() => None,
                 }
             };
-            let place = match found {
-                Some(Ok(place)) => place,
+            let slot = match found {
+                Some(Ok(slot)) => slot,
                 Some(Err(reason)) => return self.give_up(Some(reason)).await,
                 None => return (Outcome::CallerGone, Reuse::Close),
             };
 
-            let target = place.target.clone();
+            let target = slot.target.clone();
             self.tried.record_start(&target);
-            self.placed_at = Some(self.gateway.now());
+            self.acquired_at = Some(self.gateway.now());
             let opened = {
-                let opening = attempt::open(self.gateway, self.request, place);
+                let opening = attempt::open(self.gateway, self.request, slot);
                 futures::select! {
                     opened = opening.fuse() => Some(opened),
                     () = self.connection.closed(READ_AHEAD_BYTES).fuse() => None,
@@ -129,7 +131,7 @@
                 Some(Ok(opened)) if opened.head.is_success() => {
                     match self.forward(opened, &target).await {
                         PartEnd::Complete(status) => {
-                            return (Outcome::Answered(status), self.reuse);
+                            return (Outcome::FromTarget(status), self.reuse);
                         }
                         PartEnd::Broken => {}
                         PartEnd::Moved => continue,
@@ -153,10 +155,10 @@
         }
     }
 
-    /// Passes events on until this target's part ends.
-    async fn forward(&mut self, mut opened: OpenAnswer<'_>, target: &TargetEntry) -> PartEnd {
+    /// Forwards events until this target's part ends.
+    async fn forward(&mut self, mut opened: OpenResponse<'_>, target: &TargetEntry) -> PartEnd {
         let mut events = EventBuffer::default();
-        let mut kept = Buffer::new(&self.gateway.answers);
+        let mut reserved = Buffer::new(&self.gateway.answers);
 
         loop {
             let left = self.request.deadline.saturating_sub(self.gateway.now());
@@ -164,7 +166,8 @@
                 let reading = timeout(left, opened.next_part());
                 futures::select! {
                     next = reading.fuse() => next,
-                    () = self.connection.closed(READ_AHEAD_BYTES).fuse() => return PartEnd::CallerGone,
+                    () = self.connection.closed(READ_AHEAD_BYTES).fuse() =>
+                        return PartEnd::CallerGone,
                 }
             };
 
@@ -177,7 +180,7 @@
                         return end;
                     }
 
-                    if !kept.set_external_len(events.remainder().len())
+                    if !reserved.set_external_len(events.remainder().len())
                         || events.remainder().len() > MAX_EVENT_BYTES
                     {
                         return self.record_break(opened, target);
@@ -187,14 +190,14 @@
                         return PartEnd::Moved;
                     }
                 }
-                // An answer that ends within an event was cut, whatever its framing says.
+                // A response that ends within an event was truncated, whatever its framing says.
                 Ok(Ok(None)) if events.remainder().is_empty() || !self.is_resumable() => {
                     let rest = Bytes::copy_from_slice(events.remainder());
                     let head = opened.head.clone();
                     opened.finish(true);
                     return self.finish(&head, rest).await;
                 }
-                // A target that was held up by its caller has cut off what was not read.
+                // The target was blocked by a slow caller, and has cut off the unread response.
                 Ok(Ok(None) | Err(_)) if self.write_blocked => {
                     return self.record_stalled(WriteOutcome::Stalled);
                 }
@@ -203,7 +206,7 @@
         }
     }
 
-    fn record_break(&mut self, opened: OpenAnswer<'_>, target: &TargetEntry) -> PartEnd {
+    fn record_break(&mut self, opened: OpenResponse<'_>, target: &TargetEntry) -> PartEnd {
         opened.record_broken();
         let (target, last_event_id) = (target.id.clone(), self.request.last_event_id.get());
         let decision = Decision::StreamBroke { target, last_event_id };
@@ -212,7 +215,7 @@
         PartEnd::Broken
     }
 
-    /// Gets how a part ends whose caller did not take what was written.
+    /// End of the part if the caller did not accept a write.
     fn part_end_after_write(&mut self, written: WriteOutcome) -> Option<PartEnd> {
         match written {
             WriteOutcome::Complete => None,
@@ -226,12 +229,12 @@
         let last_event_id = self.request.last_event_id.get();
         self.request
             .trace
-            .add(self.gateway.now(), Decision::AnswerUnread { written, last_event_id });
+            .add(self.gateway.now(), Decision::ResponseUnread { written, last_event_id });
 
         PartEnd::CallerStalled
     }
 
-    /// Tells whether the stream is to go on at another target; takes the repeat for it.
+    /// Whether the stream should move to another target; takes the retry for it.
     fn try_move(&mut self, target: &TargetEntry) -> bool {
         let Some(limit) = self.request.admitted.rule.pause_limit.filter(|_| self.is_resumable())
         else {
@@ -257,7 +260,7 @@
         true
     }
 
-    /// Notes the time until the first event, or the pause since the one before.
+    /// Records the time to the first event, or the pause since the previous one.
     fn record_event(&mut self) {
         let now = self.gateway.now();
         let rule = &self.request.admitted.rule;
@@ -270,8 +273,8 @@
                 let first = now - arrived;
                 counters.first_event_times.note(first, "stream");
 
-                if let Some(placed_at) = self.placed_at {
-                    self.gateway.note_answer_time(&self.request.service, now - placed_at);
+                if let Some(acquired_at) = self.acquired_at {
+                    self.gateway.note_answer_time(&self.request.service, now - acquired_at);
                 }
 
                 self.timing.is_late |= first > rule.objective;
@@ -289,7 +292,7 @@
         self.request.admitted.rule.kind == RequestKind::Stream { is_resumable: true }
     }
 
-    /// Passes the whole events on that a part completes; tells whether the caller takes them.
+    /// Forwards the events that `part` completes; returns whether the caller accepted them.
     async fn forward_part(
         &mut self,
         head: &ResponseHead,
@@ -307,7 +310,7 @@
         let mut data = Vec::new();
 
         while let Some(event) = events.next_event() {
-            // A target that goes on with a stream may begin with an event that the caller has.
+            // The target that resumes a stream may start with an event that the caller already has.
             let is_old = event.id.is_some() && event.id <= last_id.get();
 
             if !is_old {
@@ -340,7 +343,7 @@
         self.write(&bytes).await
     }
 
-    /// Gets the bytes of the answer's head where it has not been sent yet.
+    /// Encoded response head; empty if it has been sent.
     fn head_bytes(&mut self, head: &ResponseHead) -> Vec<u8> {
         let mut bytes = Vec::new();
 
@@ -368,23 +371,23 @@
         written
     }
 
-    /// Passes a target's own failure on.
-    async fn forward_failure(&mut self, opened: OpenAnswer<'_>) -> (Outcome, Reuse) {
+    /// Forwards a failure reported by the target itself.
+    async fn forward_failure(&mut self, opened: OpenResponse<'_>) -> (Outcome, Reuse) {
         let left = self.request.deadline.saturating_sub(self.gateway.now());
 
         match timeout(left, opened.read_whole()).await {
-            Ok(Ok((head, body))) => self.answer(BufferedAnswer::from_target(head, body)).await,
+            Ok(Ok((head, body))) => self.answer(BufferedResponse::from_target(head, body)).await,
             Ok(Err(_)) | Err(_) => self.give_up(None).await,
         }
     }
 
-    async fn answer(&mut self, answer: BufferedAnswer) -> (Outcome, Reuse) {
-        let end = answer.end();
+    async fn answer(&mut self, answer: BufferedResponse) -> (Outcome, Reuse) {
+        let end = answer.outcome();
 
         (end, write_buffered(self.gateway, self.connection, answer, self.reuse).await)
     }
 
-    /// Ends the request without an answer, or cuts the stream that has begun.
+    /// Ends the request without a target's response, or truncates a stream that has started.
     async fn give_up(&mut self, reason: Option<NoSlot>) -> (Outcome, Reuse) {
         if self.head_sent {
             return (Outcome::Truncated, Reuse::Close);
@@ -394,7 +397,7 @@
         let reason =
             reason.unwrap_or_else(|| NoSlot::after_attempts(self.gateway, &self.request.service));
         let run = self.tried.run_state();
-        self.answer(BufferedAnswer::given_up(run, is_late, reason, self.request, self.gateway))
+        self.answer(BufferedResponse::given_up(run, is_late, reason, self.request, self.gateway))
             .await
     }
 }
--- a/grebedeck/src/gateway/trace.rs
+++ b/grebedeck/src/gateway/trace.rs
@@ -1,8 +1,8 @@
-//! The decisions on one request, kept until it ends and logged if it ended badly.
+//! Decisions on one request, kept until it ends and logged if it ended badly.
 //!
-//! Logging each decision of each request would cost more than the requests themselves. So they are kept
-//! in memory, and written out, one line each, for requests that failed or were late, and for one in some
-//! hundred of the others. Under load only so many traces are written in a second; how many were left
+//! Logging each decision of each request would cost more than serving the requests. Decisions are
+//! therefore kept in memory and logged, one line each, for requests that failed or were late and
+//! for a sample of the others. The number of traces logged per second is limited; the number left
 //! out is logged and counted.
 
 use std::cell::RefCell;
@@ -20,127 +20,127 @@
 use super::writer::WriteOutcome;
 use crate::random::ProcessRandom;
 
-/// One in so many requests that ended well is logged, as a sample of what is usual.
+/// Requests that ended well per logged sample.
 const SAMPLE_ONE_IN: usize = 200;
-/// Stories that are logged in a second at the most.
+/// Most traces logged per second.
 pub const TRACES_PER_S: f64 = 20.0;
-/// Most decisions that are kept of one request; more than attempts and waits ever make.
+/// Most decisions kept per request; more than its attempts and waits make.
 const MAX_DECISIONS: usize = 24;
 
-/// A decision on a request, with what decided it.
+/// A decision on a request, with the values that led to it.
 #[derive(Clone, Debug)]
 pub enum Decision {
-    /// It was allowed.
+    /// The request was allowed.
     Admitted {
-        /// The route.
+        /// Route.
         route: String,
-        /// The service that was drawn.
+        /// Service that was drawn.
         service: String,
-        /// The version of the configuration.
+        /// Version of the configuration.
         version: u64,
-        /// Time that is left to it.
+        /// Time until the deadline.
         left: Duration,
     },
-    /// The configuration does not allow it.
+    /// The configuration does not allow the request.
     Denied {
-        /// Why.
+        /// Reason.
         reason: Denied,
-        /// The version of the configuration.
+        /// Version of the configuration.
         version: u64,
     },
     /// A target was chosen.
     Chosen {
-        /// The target.
+        /// Target.
         target: String,
-        /// Requests that it is expected to have.
+        /// Requests expected to be in flight on the target.
         load: f64,
-        /// Requests that it works on at the same time.
+        /// Requests that the target executes at the same time.
         slots: f64,
-        /// Age of what the target said of its load, if it did.
+        /// Age of the target's load report, if there is one.
         load_age: Option<Duration>,
-        /// Load that is allowed, in requests for each place.
+        /// Allowed load, in requests per slot.
         allowed: f64,
-        /// The last event that the caller has, where a stream goes on.
+        /// Last event that the caller has, if a stream is resumed.
         last_event_id: Option<u64>,
     },
-    /// It got in line for a place.
+    /// The request was queued for a slot.
     Queued {
-        /// Its urgency.
+        /// Urgency of the request.
         urgency: Urgency,
-        /// Those who go before it, as far as that could be known.
+        /// Requests ahead of it, as far as known.
         ahead: usize,
     },
-    /// There was no place.
+    /// There was no slot.
     NoSlot {
-        /// Why.
+        /// Reason.
         reason: NoSlot,
-        /// Mean load of the service's targets, in requests for each place.
+        /// Mean load of the service's targets, in requests per slot.
         load: f64,
-        /// Load that is allowed, in requests for each place.
+        /// Allowed load, in requests per slot.
         allowed: f64,
-        /// Mean pause between events, if streams were seen lately.
+        /// Mean pause between events, if streams were observed lately.
         pause: Option<Duration>,
         /// Urgency of the request.
         urgency: Urgency,
-        /// Targets that take work.
+        /// Targets that accept work.
         targets: usize,
     },
     /// An attempt failed.
     AttemptFailed {
-        /// The target.
+        /// Target.
         target: String,
-        /// What went wrong.
+        /// The failure.
         failure: AttemptFailure,
     },
-    /// The target answered with its own failure.
+    /// The target responded with a failure of its own.
     TargetFailed {
-        /// The target.
+        /// Target.
         target: String,
-        /// The status.
+        /// HTTP status.
         status: u16,
     },
     /// A stream broke.
     StreamBroke {
-        /// The target.
+        /// Target.
         target: String,
-        /// The last event that the caller has.
+        /// Last event that the caller has.
         last_event_id: Option<u64>,
     },
-    /// A stream goes on at another target, as this one is slow.
+    /// A stream moves to another target because this one is slow.
     StreamMoved {
-        /// The target.
+        /// The slow target.
         target: String,
-        /// The last event that the caller has.
+        /// Last event that the caller has.
         last_event_id: Option<u64>,
     },
-    /// A stream came slower than its route wants.
+    /// A stream was slower than its route's objective or pause limit.
     StreamSlow {
-        /// Time until the first event.
+        /// Time to the first event.
         first_event: Duration,
         /// Longest pause between two events.
         longest_pause: Duration,
-        /// When the longest pause ended, since the request arrived.
+        /// Time from the request's arrival to the end of the longest pause.
         pause_ended: Duration,
     },
-    /// The caller takes nothing of what is written to it.
-    AnswerUnread {
-        /// How it ended.
+    /// The caller does not read the response.
+    ResponseUnread {
+        /// How writing ended.
         written: WriteOutcome,
-        /// The last event that the caller has.
+        /// Last event that the caller has.
         last_event_id: Option<u64>,
     },
-    /// It ran on a target when the connection broke, which may have been the target's crash.
+    /// The request ran on a target when the connection broke, possibly as the target crashed.
     Suspected {
-        /// The target.
+        /// Target.
         target: String,
-        /// What the request has in common with its caller's other tries.
+        /// Fingerprint that the request shares with its caller's retries.
         fingerprint: Fingerprint,
-        /// Crashes that spoke against it before.
+        /// Earlier crashes attributed to the fingerprint.
         crashes: usize,
     },
-    /// Another attempt was not made.
+    /// The request was not retried.
     NotRetried {
-        /// Why.
+        /// Reason.
         reason: &'static str,
     },
 }
@@ -148,24 +148,24 @@
 /// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The caller got a target's answer.
-    Answered(u16),
-    /// The caller got this process's own answer.
+    /// The caller got a target's response with this status.
+    FromTarget(u16),
+    /// The caller got a response of the gateway itself with this status.
     Local(u16),
-    /// The stream was cut.
+    /// The stream was truncated.
     Truncated,
-    /// The caller has gone.
+    /// The caller has left.
     CallerGone,
-    /// The caller takes nothing of its answer.
+    /// The caller did not read the response.
     CallerStalled,
 }
 
 impl Outcome {
-    /// Gets a short word for logs and counters.
+    /// Label in logs and counters.
     pub fn word(self) -> &'static str {
         match self {
-            Outcome::Answered(200..300) => "served",
-            Outcome::Answered(_) => "target_failed",
+            Outcome::FromTarget(200..300) => "served",
+            Outcome::FromTarget(_) => "target_failed",
             Outcome::Local(401 | 404) => "denied",
             Outcome::Local(503) => "refused",
             Outcome::Local(504) => "timed_out",
@@ -177,18 +177,18 @@
     }
 
     fn is_bad(self) -> bool {
-        !matches!(self, Outcome::Answered(200..300) | Outcome::CallerGone)
+        !matches!(self, Outcome::FromTarget(200..300) | Outcome::CallerGone)
     }
 
     fn status(self) -> u16 {
         match self {
-            Outcome::Answered(status) | Outcome::Local(status) => status,
+            Outcome::FromTarget(status) | Outcome::Local(status) => status,
             Outcome::Truncated | Outcome::CallerGone | Outcome::CallerStalled => 0,
         }
     }
 }
 
-/// The decisions on one request.
+/// Decisions on one request.
 pub struct Trace {
     id: String,
     started_at: Moment,
@@ -196,12 +196,12 @@
 }
 
 impl Trace {
-    /// Begins a request's trace.
+    /// Starts the trace of a request.
     pub fn new(id: &str, started_at: Moment) -> Self {
         Trace { id: id.to_string(), started_at, decisions: RefCell::default() }
     }
 
-    /// Adds a decision.
+    /// Records a decision.
     pub fn add(&self, now: Moment, decision: Decision) {
         let mut decisions = self.decisions.borrow_mut();
 
@@ -210,12 +210,13 @@
         }
     }
 
-    /// Tells whether the trace of a request that ended so is to be logged, if there is room.
+    /// Whether the trace of a request with this outcome should be logged, subject to the rate
+    /// limit.
     pub fn should_log(&self, end: Outcome, is_late: bool) -> bool {
         end.is_bad() || is_late || ProcessRandom::default().below(SAMPLE_ONE_IN) == 0
     }
 
-    /// Logs all decisions and the end.
+    /// Logs all decisions and the outcome.
     pub fn log(&self, end: Outcome, now: Moment) {
         for (at, decision) in self.decisions.borrow().iter() {
             self.log_decision(self.offset_ms(*at), decision);
@@ -263,7 +264,7 @@
                 });
             }
             Decision::Queued { urgency, ahead } => {
-                log::info!("in line", kv: {
+                log::info!("request queued", kv: {
                     request, at_ms, urgency = urgency.1, key_urgency = urgency.0, ahead = *ahead,
                 });
             }
@@ -287,7 +288,7 @@
                     cause = failure.cause.word(),
                     may_have_run = failure.run == RunState::MayHaveRun,
                     status = optional(refusal.map(|r| r.status.into())),
-                    asked_rest_ms = optional_ms(refusal.and_then(|r| r.asked)),
+                    asked_rest_ms = optional_ms(refusal.and_then(|r| r.requested_delay)),
                 });
             }
             Decision::TargetFailed { target, status } => {
@@ -317,7 +318,7 @@
                     pause_ended_ms = pause_ended.as_millis() as u64,
                 });
             }
-            Decision::AnswerUnread { written, last_event_id } => {
+            Decision::ResponseUnread { written, last_event_id } => {
                 log::info!("answer unread", kv: {
                     request, at_ms,
                     why = written.word(),
@@ -339,7 +340,7 @@
     }
 }
 
-/// Gets a number that a log line can hold; what is not known is told as -1.
+/// Number for a log line; -1 if it is unknown.
 fn optional(number: Option<u64>) -> i64 {
     number.and_then(|n| i64::try_from(n).ok()).unwrap_or(-1)
 }
@@ -348,7 +349,7 @@
     optional(time.map(|t| t.as_millis() as u64))
 }
 
-/// Rounds to hundredths, and an unlimited number to -1, which JSON can hold.
+/// Rounds to hundredths; an unlimited value becomes -1, as JSON has no infinity.
 fn rounded(number: f64) -> f64 {
     if number.is_finite() { (number * 100.0).round() / 100.0 } else { -1.0 }
 }
--- a/grebedeck/src/gateway/tried.rs
+++ b/grebedeck/src/gateway/tried.rs
@@ -1,54 +1,54 @@
-//! How attempts fail, and what that means for the next one.
+//! Failures of attempts, and the history of attempts that decides whether a request may be retried.
 
 use std::time::Duration;
 
 use grebedeck_gateway::{RunState, TargetEntry, TargetId};
 
-/// Why an attempt has no answer.
+/// An attempt that yielded no usable response.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptFailure {
-    /// Whether the request may have run.
+    /// Whether the request may have been executed.
     pub run: RunState,
     /// What went wrong.
     pub cause: FailureCause,
-    /// The target's answer, where it refused the request.
+    /// The target's refusal, if it refused the request.
     pub refusal: Option<Refusal>,
 }
 
 /// A target's refusal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// Its status.
+    /// HTTP status.
     pub status: u16,
-    /// How long the target wants to be left alone, if it says so.
-    pub asked: Option<Duration>,
+    /// Delay that the target asked for, if any.
+    pub requested_delay: Option<Duration>,
 }
 
-/// What went wrong with an attempt.
+/// Why an attempt failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FailureCause {
     /// No connection could be made.
     Connect,
-    /// The target takes no more work since it was chosen, so nothing was sent.
+    /// The target stopped accepting work after it was selected, so nothing was sent.
     Withdrawn,
-    /// The target refused the request, as all its places are taken.
+    /// The target refused the request because all its slots are taken.
     Full,
-    /// The target refused the request although it has room.
+    /// The target refused the request although it has free slots.
     Refused,
     /// Another target has the address.
     OtherTarget,
-    /// The connection ended without a whole answer.
+    /// The connection ended before the whole response had arrived.
     Broken,
-    /// What came is no answer to this request.
+    /// The data received is not a valid response to this request.
     Unusable,
-    /// The time was over.
+    /// The request's deadline passed.
     TimedOut,
-    /// There is no memory for the answer.
+    /// There is no memory for the response.
     NoMemory,
 }
 
 impl FailureCause {
-    /// Gets a short word for logs and counters.
+    /// Label in logs and counters.
     pub fn word(self) -> &'static str {
         match self {
             FailureCause::Connect => "connect",
@@ -65,23 +65,23 @@
 }
 
 impl AttemptFailure {
-    /// Makes the failure of an attempt that did not run.
+    /// Failure of an attempt that was not executed.
     pub fn not_run(cause: FailureCause) -> Self {
         AttemptFailure { run: RunState::NotRun, cause, refusal: None }
     }
 
-    /// Makes the failure of an attempt that the target refused.
+    /// Failure of an attempt that the target refused.
     pub fn refused(cause: FailureCause, refusal: Refusal) -> Self {
         AttemptFailure { refusal: Some(refusal), ..AttemptFailure::not_run(cause) }
     }
 
-    /// Makes the failure of an attempt that may have run.
+    /// Failure of an attempt that may have been executed.
     pub fn may_have_run(cause: FailureCause) -> Self {
         AttemptFailure { run: RunState::MayHaveRun, cause, refusal: None }
     }
 }
 
-/// The targets that a request was sent to, and whether one of them may have run it.
+/// Targets that a request was sent to, and whether one of them may have executed it.
 #[derive(Default)]
 pub struct AttemptHistory {
     targets: Vec<TargetId>,
@@ -90,15 +90,15 @@
 }
 
 impl AttemptHistory {
-    /// Notes that the request is sent to a target. From here on it may run there, also if the task that
-    /// sends it is dropped.
+    /// Records that an attempt starts. From here on the target may execute the request, even if the
+    /// task that sends it is dropped.
     pub fn record_start(&mut self, target: &TargetEntry) {
         self.targets.push(target.id.clone());
         self.may_have_run_before = std::mem::replace(&mut self.may_have_run, true);
     }
 
-    /// Notes how the attempt that began last failed; tells whether it counts as one. Where nothing was sent the request
-    /// looks for another place without a repeat.
+    /// Records how the latest attempt failed; returns whether it counts as an attempt. If nothing
+    /// was sent it does not, and the request looks for another slot without using up a retry.
     pub fn record_failure(&mut self, failure: &AttemptFailure) -> bool {
         self.may_have_run = self.may_have_run_before || failure.run == RunState::MayHaveRun;
         let is_sent = failure.cause != FailureCause::Withdrawn;
@@ -110,12 +110,12 @@
         is_sent
     }
 
-    /// Gets the targets, in the order of the attempts.
+    /// Targets in the order of the attempts.
     pub fn targets(&self) -> &[TargetId] {
         &self.targets
     }
 
-    /// Tells whether the request may have run.
+    /// Whether the request may have been executed.
     pub fn run_state(&self) -> RunState {
         if self.may_have_run { RunState::MayHaveRun } else { RunState::NotRun }
     }
--- a/grebedeck/src/gateway/whole.rs
+++ b/grebedeck/src/gateway/whole.rs
@@ -1,4 +1,4 @@
-//! Requests whose answers are read whole before the caller gets them.
+//! Serves requests whose responses are buffered before the caller gets them.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -18,24 +18,24 @@
 use super::trace::{Decision, Outcome};
 use super::tried::{AttemptFailure, AttemptHistory, FailureCause};
 
-/// How long a caller is told to wait while the process does not know its configuration or targets.
+/// Delay for the caller while the process knows no configuration or targets.
 const NOT_READY_WAIT: Duration = Duration::from_millis(500);
 
-/// An answer that is here whole.
-pub struct BufferedAnswer {
+/// A complete response.
+pub struct BufferedResponse {
     head: ResponseHead,
-    /// None for this process's own answers.
+    /// `None` for the gateway's own responses.
     body: Option<Buffer>,
     is_local: bool,
 }
 
-impl BufferedAnswer {
-    /// Makes the answer of a target.
+impl BufferedResponse {
+    /// Response of a target.
     pub fn from_target(head: ResponseHead, body: Buffer) -> Self {
-        BufferedAnswer { head, body: Some(body), is_local: false }
+        BufferedResponse { head, body: Some(body), is_local: false }
     }
 
-    /// Makes this process's own answer; `retry_after` is for requests that have not run.
+    /// Response of the gateway itself; `retry_after` is for requests that have not been executed.
     pub fn local(
         status: u16,
         retry_after: Option<Duration>,
@@ -49,23 +49,23 @@
             head.headers.push(names.retry_after, format!("{:.3}", wait.as_secs_f64()));
         }
 
-        BufferedAnswer { head, body: None, is_local: true }
+        BufferedResponse { head, body: None, is_local: true }
     }
 
-    /// Makes the answer of a process that does not take requests yet, or does no longer.
+    /// Response of a process that does not serve requests yet, or no longer does.
     pub fn not_ready(request: &CallerRequest, names: &HeaderNames) -> Self {
-        BufferedAnswer::local(503, Some(NOT_READY_WAIT), request, names)
+        BufferedResponse::local(503, Some(NOT_READY_WAIT), request, names)
     }
 
-    /// Makes the answer to a request that the configuration does not allow.
+    /// Response to a request that the configuration does not allow.
     pub fn denied(denied: Denied, request: &CallerRequest, names: &HeaderNames) -> Self {
         match denied {
-            Denied::NoConfiguration => BufferedAnswer::not_ready(request, names),
-            _ => BufferedAnswer::local(denied.status(), None, request, names),
+            Denied::NoConfiguration => BufferedResponse::not_ready(request, names),
+            _ => BufferedResponse::local(denied.status(), None, request, names),
         }
     }
 
-    /// Makes the answer to a request that is given up; `reason` is why there is no place for it.
+    /// Response to a request that is given up; `reason` is why there is no slot for it.
     pub fn given_up(
         run: RunState,
         is_late: bool,
@@ -76,7 +76,7 @@
         let wait = reason.retry_after(gateway, request);
         let retry_after = (run == RunState::NotRun).then_some(wait);
 
-        BufferedAnswer::local(
+        BufferedResponse::local(
             give_up_status(run, is_late),
             retry_after,
             &request.request,
@@ -84,16 +84,17 @@
         )
     }
 
-    /// Gets how a request ends that gets this answer.
-    pub fn end(&self) -> Outcome {
+    /// Outcome of a request that gets this response.
+    pub fn outcome(&self) -> Outcome {
         if self.is_local {
             Outcome::Local(self.head.status)
         } else {
-            Outcome::Answered(self.head.status)
+            Outcome::FromTarget(self.head.status)
         }
     }
 
-    /// Gets the bytes to send, of which a long body is a part of its own. The second part has the memory of both.
+    /// Bytes to send; a long body is returned separately. The second part holds the memory
+    /// reservation of both.
     pub fn into_parts(self, reuse: Reuse) -> (Vec<u8>, Option<Buffer>) {
         let mut headers: Headers = self.head.headers.end_to_end();
         let len_bytes = self.body.as_ref().map_or(0, |body| body.len());
@@ -119,7 +120,7 @@
 }
 
 /// Serves a request.
-pub async fn serve(gateway: &Rc<Gateway>, request: &Rc<RoutedRequest>) -> BufferedAnswer {
+pub async fn serve(gateway: &Rc<Gateway>, request: &Rc<RoutedRequest>) -> BufferedResponse {
     gateway.earn_repeat(&request.service);
     let left = request.deadline.saturating_sub(gateway.now());
     let mut attempts = Attempts::default();
@@ -133,25 +134,29 @@
     }
 }
 
-/// The attempts of one request.
+/// Attempts of one request.
 #[derive(Default)]
 struct Attempts {
     tried: AttemptHistory,
-    /// A target's own failure, which the caller gets where no other attempt does better.
-    failure: Option<BufferedAnswer>,
+    /// Failure reported by a target, which the caller gets unless a later attempt succeeds.
+    failure: Option<BufferedResponse>,
 }
 
 impl Attempts {
-    async fn run(&mut self, gateway: &Rc<Gateway>, request: &Rc<RoutedRequest>) -> BufferedAnswer {
+    async fn run(
+        &mut self,
+        gateway: &Rc<Gateway>,
+        request: &Rc<RoutedRequest>,
+    ) -> BufferedResponse {
         loop {
-            let place = match place::acquire(gateway, request, self.tried.targets()).await {
-                Ok(place) => place,
+            let slot = match place::acquire(gateway, request, self.tried.targets()).await {
+                Ok(slot) => slot,
                 Err(reason) => return self.give_up(gateway, request, reason),
             };
 
-            self.tried.record_start(&place.target);
+            self.tried.record_start(&slot.target);
 
-            match self.attempt(gateway, request, place).await {
+            match self.attempt(gateway, request, slot).await {
                 Ok((answer, Verdict::Failure)) => self.failure = Some(answer),
                 Ok((answer, _)) => return answer,
                 Err(failure) => {
@@ -159,7 +164,7 @@
                         continue;
                     }
 
-                    // Another target's answer would find as little.
+                    // A response of another target would find no memory either.
                     if failure.cause == FailureCause::NoMemory {
                         gateway.counters.unread.add("answer_no_memory");
                         let reason = NoSlot::after_attempts(gateway, &request.service);
@@ -179,11 +184,11 @@
         &self,
         gateway: &Rc<Gateway>,
         request: &RoutedRequest,
-        place: Slot,
-    ) -> Result<(BufferedAnswer, Verdict), AttemptFailure> {
+        slot: Slot,
+    ) -> Result<(BufferedResponse, Verdict), AttemptFailure> {
         let began = gateway.now();
-        let target = place.target.clone();
-        let opened = attempt::open(gateway, request, place).await?;
+        let target = slot.target.clone();
+        let opened = attempt::open(gateway, request, slot).await?;
         let verdict = opened.verdict;
         let now = gateway.now();
 
@@ -195,7 +200,7 @@
         match opened.read_whole().await {
             Ok((head, body)) => {
                 gateway.note_answer_time(&request.service, gateway.now() - began);
-                Ok((BufferedAnswer::from_target(head, body), verdict))
+                Ok((BufferedResponse::from_target(head, body), verdict))
             }
             Err(cause) => {
                 let failure = AttemptFailure::may_have_run(cause);
@@ -211,13 +216,13 @@
         gateway: &Gateway,
         request: &RoutedRequest,
         reason: NoSlot,
-    ) -> BufferedAnswer {
+    ) -> BufferedResponse {
         let run = self.tried.run_state();
         let is_late = request.is_past_deadline(gateway.now());
 
         match self.failure.take() {
             Some(failure) => failure,
-            None => BufferedAnswer::given_up(run, is_late, reason, request, gateway),
+            None => BufferedResponse::given_up(run, is_late, reason, request, gateway),
         }
     }
 }
--- a/grebedeck/tests/withdrawn.rs
+++ b/grebedeck/tests/withdrawn.rs
@@ -1,6 +1,7 @@
-//! A target that takes no more work once it was chosen gets nothing: a connection may have to be made in between, and
-//! the request may have been handed its place while others were served. Nor is a request sent, or kept in line, that is known
-//! to crash targets since.
+//! State changes between choosing a target and sending the request. A connection may have to be
+//! made in between, or the request may have got its slot while it was queued. A target that stopped
+//! accepting work by then gets nothing, and a request that was found to crash targets is neither
+//! sent nor kept in the queue.
 
 mod lone;
 
@@ -50,8 +51,9 @@
     RoutedRequest::new(caller, admitted, "notes".to_string(), None, &NAMES)
 }
 
-/// Chooses a target, lets something happen to it, and sends; gets the cause, and what reached the target.
-fn send_after(happens: impl Fn(&Gateway, &TargetEntry)) -> (FailureCause, usize) {
+/// Chooses a target, calls `change`, and sends; returns the failure's cause and the number of bytes
+/// that reached the target.
+fn send_after(change: impl Fn(&Gateway, &TargetEntry)) -> (FailureCause, usize) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let entry = target(listener.local_addr().expect("its address"));
     let gateway = Rc::new(Gateway::new(settings(), NAMES, Tasks::default()));
@@ -63,12 +65,15 @@
     let place = Slot { in_flight, target: chosen, permit: Permit::NotNeeded };
     let mut tried = AttemptHistory::default();
     tried.record_start(&entry);
-    happens(&gateway, &entry);
+    change(&gateway, &entry);
 
     let opened = async_std::task::block_on(open(&gateway, &request, place));
-    let failure = opened.err().expect("no answer");
+    let failure = opened.err().expect("a failure");
     assert_eq!(failure.run, RunState::NotRun);
-    assert!(!tried.record_failure(&failure) && tried.targets().is_empty(), "it counts as no try");
+    assert!(
+        !tried.record_failure(&failure) && tried.targets().is_empty(),
+        "it must not count as an attempt"
+    );
     drop(gateway);
     let mut bytes = Vec::new();
     let (mut stream, _) = listener.accept().expect("a connection was made");
@@ -78,50 +83,50 @@
 }
 
 #[test]
-fn a_target_that_asked_for_rest_since_it_was_chosen_gets_nothing() {
-    let rests = |gateway: &Gateway, target: &TargetEntry| {
-        let refusal = Refusal { status: 503, asked: Some(Duration::from_secs(3)) };
+fn a_target_that_asked_for_a_delay_after_the_choice_gets_nothing() {
+    let asks_for_delay = |gateway: &Gateway, target: &TargetEntry| {
+        let refusal = Refusal { status: 503, requested_delay: Some(Duration::from_secs(3)) };
         gateway.note_refusal(target, refusal, None);
     };
 
-    assert_eq!(send_after(rests), (FailureCause::Withdrawn, 0));
+    assert_eq!(send_after(asks_for_delay), (FailureCause::Withdrawn, 0));
 }
 
 #[test]
-fn a_target_that_named_a_limit_since_it_was_chosen_gets_nothing_without_a_permit() {
-    let names_limit = |gateway: &Gateway, target: &TargetEntry| {
+fn a_target_that_announced_a_limit_after_the_choice_gets_nothing_without_a_permit() {
+    let announces_limit = |gateway: &Gateway, target: &TargetEntry| {
         let mut head = ResponseHead::new(200);
         head.headers.push(NAMES.limit, "2");
         gateway.record_limit(target, &head, Verdict::Pass, gateway.now());
     };
 
-    assert_eq!(send_after(names_limit), (FailureCause::Withdrawn, 0));
+    assert_eq!(send_after(announces_limit), (FailureCause::Withdrawn, 0));
 }
 
 #[test]
-fn a_target_that_left_since_it_was_chosen_gets_nothing() {
+fn a_target_that_left_after_the_choice_gets_nothing() {
     let leaves = |gateway: &Gateway, target: &TargetEntry| {
         gateway.change_targets(|targets, now| targets.record_leaving(target, now));
     };
-    let is_gone = |gateway: &Gateway, _: &TargetEntry| {
+    let is_removed = |gateway: &Gateway, _: &TargetEntry| {
         gateway.change_targets(|targets, now| targets.apply_snapshot(2, vec![], now));
     };
 
     assert_eq!(send_after(leaves), (FailureCause::Withdrawn, 0));
-    assert_eq!(send_after(is_gone), (FailureCause::Withdrawn, 0));
+    assert_eq!(send_after(is_removed), (FailureCause::Withdrawn, 0));
 }
 
 #[test]
-fn a_request_that_is_known_to_crash_targets_since_it_got_its_place_is_not_sent() {
-    let is_known = |gateway: &Gateway, _: &TargetEntry| {
+fn a_request_quarantined_after_it_got_its_slot_is_not_sent() {
+    let is_quarantined = |gateway: &Gateway, _: &TargetEntry| {
         gateway.restore_quarantined(request(gateway).fingerprint(), 0);
     };
 
-    assert_eq!(send_after(is_known), (FailureCause::Withdrawn, 0));
+    assert_eq!(send_after(is_quarantined), (FailureCause::Withdrawn, 0));
 }
 
 #[test]
-fn a_request_in_line_that_is_known_to_crash_targets_is_told_at_once() {
+fn a_queued_request_is_answered_at_once_when_quarantined() {
     let tasks = Tasks::default();
     let gateway = Rc::new(Gateway::new(settings(), NAMES, tasks.clone()));
     let entry = target(SocketAddr::from(([127, 0, 0, 1], 1)));
@@ -132,7 +137,7 @@
     let request = Rc::new(request(&gateway));
     let (waiting, waiter) = (gateway.clone(), request.clone());
     let found = tasks.spawn(async move { place::acquire(&waiting, &waiter, &[]).await.err() });
-    let known = async {
+    let quarantining = async {
         while !found.is_finished() && gateway.waiting.is_empty("notes") {
             async_std::task::sleep(Duration::from_millis(1)).await;
         }
@@ -141,9 +146,9 @@
         gateway.restore_quarantined(request.fingerprint(), 0);
         (found.await, gateway.now() - began)
     };
-    let (reason, took) = async_std::task::block_on(tasks.run(known));
+    let (reason, took) = async_std::task::block_on(tasks.run(quarantining));
 
     assert!(matches!(reason, Some(NoSlot::Quarantined(_))), "{reason:?}");
-    assert!(took < Duration::from_millis(100), "told after {took:?}");
+    assert!(took < Duration::from_millis(100), "answered after {took:?}");
     drop(taken);
 }
