--- a/grebedeck/src/gateway/attempt.rs
+++ b/grebedeck/src/gateway/attempt.rs
@@ -13,10 +13,10 @@
 
 use super::opened::{OpenResponse, SentRequest};
 use super::options::{CONNECT_LIMIT, MAX_ANSWER_HEAD_BYTES, UNREAD_BYTES};
-use super::place::Slot;
 use super::refusing::refusal_cause;
 use super::request::RoutedRequest;
 use super::service::Gateway;
+use super::slot::Slot;
 use super::trace::Decision;
 use super::tried::{AttemptFailure, FailureCause, Refusal};
 
--- a/grebedeck/src/gateway/entering.rs
+++ b/grebedeck/src/gateway/entering.rs
@@ -13,9 +13,9 @@
 
 use super::handout;
 use super::hold;
-use super::place::{self, NoSlot, Slot};
 use super::request::RoutedRequest;
 use super::service::Gateway;
+use super::slot::{self, NoSlot, Slot};
 use super::trace::Decision;
 use super::waiting::{QueueEntry, QueueState, QueuedRequest};
 
@@ -43,7 +43,7 @@
     let is_first = gateway.waiting.is_empty(service);
 
     let reason = if is_first {
-        match place::try_acquire(gateway, request, tried, now) {
+        match slot::try_acquire(gateway, request, tried, now) {
             Ok(slot) => {
                 gateway.waiting.with(service, |state| state.queue.note_at_once(urgency, now));
                 return Ok(Acquisition::Acquired(slot));
@@ -150,7 +150,7 @@
         tokens,
         start_by,
         give_up,
-        goes_on: place::is_resumed_stream(request, tried),
+        goes_on: slot::is_resumed_stream(request, tried),
     }
 }
 
--- a/grebedeck/src/gateway/handout.rs
+++ b/grebedeck/src/gateway/handout.rs
@@ -13,8 +13,8 @@
 
 use super::hold;
 use super::options::{LOOK_PAUSE, MIN_WAIT, TRIAL_PAUSE};
-use super::place::{self, NoSlot, Slot};
 use super::service::Gateway;
+use super::slot::{self, NoSlot, Slot};
 use super::waiting::Obstacle;
 
 /// Hands places out for as long as somebody waits.
@@ -36,7 +36,7 @@
         let now = gateway.now();
         let (request, tried) = gateway.waiting.peek(service, now)?;
 
-        match place::try_acquire(gateway, &request, &tried, now) {
+        match slot::try_acquire(gateway, &request, &tried, now) {
             Ok(place) => {
                 let next = gateway.waiting.with(service, |line| line.queue.pop(now)).flatten();
                 let (waiter, seeker) = next?;
--- a/grebedeck/src/gateway/hold.rs
+++ b/grebedeck/src/gateway/hold.rs
@@ -9,9 +9,9 @@
 
 use super::mechanism::Mechanism;
 use super::options::{HOLD_LIMIT, HOLD_MARGIN, MAX_HOLD, URGENT_WAIT_PART};
-use super::place::{self, NoSlot};
 use super::request::RoutedRequest;
 use super::service::Gateway;
+use super::slot::{self, NoSlot};
 
 /// Latest moment at which starting the request is still of use.
 pub fn start_by(
@@ -21,7 +21,7 @@
     now: Moment,
 ) -> Moment {
     // A stream that has started would be truncated, so it waits for as long as its caller does.
-    let until = if place::is_resumed_stream(request, tried) {
+    let until = if slot::is_resumed_stream(request, tried) {
         now + MAX_HOLD
     } else {
         let objective = request.admitted.rule.objective;
--- a/grebedeck/src/gateway/stream.rs
+++ b/grebedeck/src/gateway/stream.rs
@@ -20,9 +20,9 @@
 use super::caller::{Reuse, write_buffered};
 use super::opened::OpenResponse;
 use super::options::{MAX_EVENT_BYTES, READ_AHEAD_BYTES};
-use super::place::{self, NoSlot};
 use super::request::RoutedRequest;
 use super::service::Gateway;
+use super::slot::{self, NoSlot};
 use super::tempo::EventTiming;
 use super::trace::{Decision, Outcome};
 use super::tried::AttemptHistory;
@@ -103,7 +103,7 @@
     async fn run(&mut self) -> (Outcome, Reuse) {
         loop {
             let found = {
-                let finding = place::acquire(self.gateway, self.request, self.tried.targets());
+                let finding = slot::acquire(self.gateway, self.request, self.tried.targets());
                 futures::select! {
                     found = finding.fuse() => Some(found),
                     () = self.connection.closed(READ_AHEAD_BYTES).fuse() => None,
@@ -242,7 +242,7 @@
         };
         let wants_to = !self.is_pinned
             && self.gateway.should_leave(target, limit)
-            && place::has_free_slot(self.gateway, self.request, self.tried.targets());
+            && slot::has_free_slot(self.gateway, self.request, self.tried.targets());
 
         if !wants_to {
             return false;
--- a/grebedeck/src/gateway/suspects.rs
+++ b/grebedeck/src/gateway/suspects.rs
@@ -20,9 +20,9 @@
 
 use super::handout;
 use super::options::CONNECT_LIMIT;
-use super::place::NoSlot;
 use super::request::RoutedRequest;
 use super::service::Gateway;
+use super::slot::NoSlot;
 use super::trace::Decision;
 use crate::liveness;
 use crate::random::ProcessRandom;
--- a/grebedeck/src/gateway/waiting.rs
+++ b/grebedeck/src/gateway/waiting.rs
@@ -14,9 +14,9 @@
 use grebedeck_gateway::{EngineSpec, RouteTable, TargetId};
 use serde_json::json;
 
-use super::place::{NoSlot, Slot};
 use super::request::RoutedRequest;
 use super::service::Gateway;
+use super::slot::{NoSlot, Slot};
 use crate::random::ProcessRandom;
 
 /// A request in a queue.
--- a/grebedeck/src/gateway/whole.rs
+++ b/grebedeck/src/gateway/whole.rs
@@ -12,9 +12,9 @@
 use super::attempt;
 use super::buffer::Buffer;
 use super::caller::Reuse;
-use super::place::{self, NoSlot, Slot};
 use super::request::{CallerRequest, RoutedRequest};
 use super::service::Gateway;
+use super::slot::{self, NoSlot, Slot};
 use super::trace::{Decision, Outcome};
 use super::tried::{AttemptFailure, AttemptHistory, FailureCause};
 
@@ -149,7 +149,7 @@
         request: &Rc<RoutedRequest>,
     ) -> BufferedResponse {
         loop {
-            let slot = match place::acquire(gateway, request, self.tried.targets()).await {
+            let slot = match slot::acquire(gateway, request, self.tried.targets()).await {
                 Ok(slot) => slot,
                 Err(reason) => return self.give_up(gateway, request, reason),
             };
--- a/grebedeck/tests/place.rs
+++ b/grebedeck/tests/place.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use grebedeck::gateway::place::NoSlot;
+use grebedeck::gateway::slot::NoSlot;
 
 const MS: fn(u64) -> Duration = Duration::from_millis;
 
--- a/grebedeck/tests/withdrawn.rs
+++ b/grebedeck/tests/withdrawn.rs
@@ -14,9 +14,9 @@
 use grebedeck::gateway::Tasks;
 use grebedeck::gateway::attempt::{InFlight, open};
 use grebedeck::gateway::buffer::Buffer;
-use grebedeck::gateway::place::{self, NoSlot, Slot};
 use grebedeck::gateway::request::{CallerRequest, RoutedRequest};
 use grebedeck::gateway::service::Gateway;
+use grebedeck::gateway::slot::{self, NoSlot, Slot};
 use grebedeck::gateway::tried::{AttemptHistory, FailureCause, Refusal};
 use grebedeck_gateway::{
     Admitted, ListedTarget, Permit, RunState, TargetEntry, TargetState, Verdict,
@@ -136,7 +136,7 @@
         (0..100).map(|_| InFlight::new(&gateway, &Arc::new(entry.clone()))).collect();
     let request = Rc::new(request(&gateway));
     let (waiting, waiter) = (gateway.clone(), request.clone());
-    let found = tasks.spawn(async move { place::acquire(&waiting, &waiter, &[]).await.err() });
+    let found = tasks.spawn(async move { slot::acquire(&waiting, &waiter, &[]).await.err() });
     let quarantining = async {
         while !found.is_finished() && gateway.waiting.is_empty("notes") {
             async_std::task::sleep(Duration::from_millis(1)).await;
