--- a/grebedeck/src/gateway.rs
+++ b/grebedeck/src/gateway.rs
@@ -10,7 +10,7 @@
 pub mod cold;
 pub mod counters;
 pub mod dump;
-pub mod entering;
+pub mod enqueue;
 pub mod gossip;
 pub mod halls;
 pub mod handout;
--- a/grebedeck/src/gateway/slot.rs
+++ b/grebedeck/src/gateway/slot.rs
@@ -12,7 +12,7 @@
 
 use super::attempt::InFlight;
 use super::counters::urgency_word;
-use super::entering::{self, Acquisition};
+use super::enqueue::{self, Acquisition};
 use super::mechanism::Mechanism;
 use super::options::{
     EVACUATED_WAIT, HOLD_LIMIT, MIN_RETURN_SPREAD, NO_TARGETS_WAIT, PLACEMENT_LAG, RETURN_SPREAD,
@@ -162,7 +162,7 @@
     // targets and is sent on after each crash takes down target after target, and their group is
     // out for as long as the request keeps coming.
     let found = match gateway.cleared(request).await {
-        Ok(()) => match entering::acquire_or_enqueue(gateway, request, tried) {
+        Ok(()) => match enqueue::acquire_or_enqueue(gateway, request, tried) {
             Ok(Acquisition::Acquired(slot)) => Ok(slot),
             Ok(Acquisition::Queued(entry)) => entry.wait().await,
             Err(reason) => Err(reason),
--- a/grebedeck/src/gateway/waiting.rs
+++ b/grebedeck/src/gateway/waiting.rs
@@ -1,6 +1,6 @@
 //! Queues of the requests that wait at this gateway for a slot.
 //!
-//! Each service has one queue, ordered by [`grebedeck_admission`]. [`super::entering`] adds
+//! Each service has one queue, ordered by [`grebedeck_admission`]. [`super::enqueue`] adds
 //! requests, and [`super::handout`] assigns slots to the requests at the head.
 
 use std::cell::RefCell;
