--- a/grebedeck/src/gateway.rs
+++ b/grebedeck/src/gateway.rs
@@ -39,7 +39,7 @@
 pub mod tempo;
 pub mod trace;
 pub mod tried;
-pub mod waiting;
+pub mod wait_queues;
 pub mod watch;
 pub mod whole;
 pub mod writer;
--- a/grebedeck/src/gateway/enqueue.rs
+++ b/grebedeck/src/gateway/enqueue.rs
@@ -17,7 +17,7 @@
 use super::service::Gateway;
 use super::slot::{self, NoSlot, Slot};
 use super::trace::Decision;
-use super::waiting::{QueueEntry, QueueState, QueuedRequest};
+use super::wait_queues::{QueueEntry, QueueState, QueuedRequest};
 
 /// Weight of each organisation; the configuration sets none.
 const WEIGHT: u64 = 1;
--- a/grebedeck/src/gateway/handout.rs
+++ b/grebedeck/src/gateway/handout.rs
@@ -15,7 +15,7 @@
 use super::options::{LOOK_PAUSE, MIN_WAIT, TRIAL_PAUSE};
 use super::service::Gateway;
 use super::slot::{self, NoSlot, Slot};
-use super::waiting::Obstacle;
+use super::wait_queues::Obstacle;
 
 /// Hands places out for as long as somebody waits.
 pub async fn serve_line(gateway: Rc<Gateway>, service: ServiceName) {
--- a/grebedeck/src/gateway/service.rs
+++ b/grebedeck/src/gateway/service.rs
@@ -37,7 +37,7 @@
 use super::suspects::SUSPECT_LINES_PER_S;
 use super::trace::{Decision, Outcome, TRACES_PER_S, Trace};
 use super::tried::AttemptHistory;
-use super::waiting::WaitQueues;
+use super::wait_queues::WaitQueues;
 
 /// A gateway.
 pub struct Gateway {
