--- a/grebedeck/src/gateway.rs
+++ b/grebedeck/src/gateway.rs
@@ -5,6 +5,7 @@
 //! too little to be worth handing over.
 
 pub mod attempt;
+pub mod attempt_history;
 pub mod buffer;
 pub mod caller;
 pub mod cold;
@@ -38,7 +39,6 @@
 pub mod suspects;
 pub mod tempo;
 pub mod trace;
-pub mod tried;
 pub mod wait_queues;
 pub mod watch;
 pub mod whole;
--- a/grebedeck/src/gateway/attempt.rs
+++ b/grebedeck/src/gateway/attempt.rs
@@ -11,6 +11,7 @@
 use grebedeck_gateway::{TargetEntry, Verdict, judge};
 use grebedeck_http::{BodyDecoder, Connection, Decoded, HttpError, ResponseHead, response_framing};
 
+use super::attempt_history::{AttemptFailure, FailureCause, Refusal};
 use super::opened::{OpenResponse, SentRequest};
 use super::options::{CONNECT_LIMIT, MAX_ANSWER_HEAD_BYTES, UNREAD_BYTES};
 use super::refusing::refusal_cause;
@@ -18,7 +19,6 @@
 use super::service::Gateway;
 use super::slot::Slot;
 use super::trace::Decision;
-use super::tried::{AttemptFailure, FailureCause, Refusal};
 
 /// Responses to earlier requests that are skipped before a connection is given up.
 const MAX_STALE_RESPONSES: u32 = 2;
--- a/grebedeck/src/gateway/health.rs
+++ b/grebedeck/src/gateway/health.rs
@@ -8,11 +8,11 @@
 use grebedeck_kernel::log;
 use grebedeck_routing::LoadReport;
 
+use super::attempt_history::FailureCause;
 use super::mechanism::Mechanism;
 use super::options::{GROUP_WORD_LIFETIME, OUTAGE_FAILURES, OVERDUE, START_LAG, TRIAL_PAUSE};
 use super::pool::MAX_IDLE_PER_TARGET;
 use super::service::Gateway;
-use super::tried::FailureCause;
 use crate::rank::message::RankLoad;
 
 impl Gateway {
--- a/grebedeck/src/gateway/opened.rs
+++ b/grebedeck/src/gateway/opened.rs
@@ -8,11 +8,11 @@
 use grebedeck_http::{BodyDecoder, Connection, HttpError, ResponseHead};
 
 use super::attempt::InFlight;
+use super::attempt_history::FailureCause;
 use super::buffer::Buffer;
 use super::options::{MAX_WHOLE_BYTES, MEMORY_WAIT};
 use super::request::RoutedRequest;
 use super::service::Gateway;
-use super::tried::FailureCause;
 
 /// A request that was sent to a target.
 pub struct SentRequest<'a> {
--- a/grebedeck/src/gateway/refusing.rs
+++ b/grebedeck/src/gateway/refusing.rs
@@ -11,8 +11,8 @@
 use grebedeck_kernel::log;
 use grebedeck_routing::LoadReport;
 
+use super::attempt_history::{FailureCause, Refusal};
 use super::service::Gateway;
-use super::tried::{FailureCause, Refusal};
 use crate::settings::millis;
 
 /// Lines a second on targets that refuse: each of some tens of targets begins and ends, and a target that refuses every
--- a/grebedeck/src/gateway/service.rs
+++ b/grebedeck/src/gateway/service.rs
@@ -21,6 +21,7 @@
 use grebedeck_routing::{Chooser, CrashCooldown, LoadReport, Quarantine};
 
 use super::Tasks;
+use super::attempt_history::AttemptHistory;
 use super::buffer::SharedMemory;
 use super::counters::Counters;
 use super::halls::OperatorView;
@@ -36,7 +37,6 @@
 use super::stop::StopState;
 use super::suspects::SUSPECT_LINES_PER_S;
 use super::trace::{Decision, Outcome, TRACES_PER_S, Trace};
-use super::tried::AttemptHistory;
 use super::wait_queues::WaitQueues;
 
 /// A gateway.
--- a/grebedeck/src/gateway/stream.rs
+++ b/grebedeck/src/gateway/stream.rs
@@ -16,6 +16,7 @@
 use grebedeck_http::{Connection, ResponseHead, write_chunk};
 
 use super::attempt;
+use super::attempt_history::AttemptHistory;
 use super::buffer::Buffer;
 use super::caller::{Reuse, write_buffered};
 use super::opened::OpenResponse;
@@ -25,7 +26,6 @@
 use super::slot::{self, NoSlot};
 use super::tempo::EventTiming;
 use super::trace::{Decision, Outcome};
-use super::tried::AttemptHistory;
 use super::whole::BufferedResponse;
 use super::writer::{self, WriteOutcome};
 
--- a/grebedeck/src/gateway/whole.rs
+++ b/grebedeck/src/gateway/whole.rs
@@ -10,13 +10,13 @@
 use grebedeck_http::{Headers, ResponseHead};
 
 use super::attempt;
+use super::attempt_history::{AttemptFailure, AttemptHistory, FailureCause};
 use super::buffer::Buffer;
 use super::caller::Reuse;
 use super::request::{CallerRequest, RoutedRequest};
 use super::service::Gateway;
 use super::slot::{self, NoSlot, Slot};
 use super::trace::{Decision, Outcome};
-use super::tried::{AttemptFailure, AttemptHistory, FailureCause};
 
 /// Delay for the caller while the process knows no configuration or targets.
 const NOT_READY_WAIT: Duration = Duration::from_millis(500);
--- a/grebedeck/tests/withdrawn.rs
+++ b/grebedeck/tests/withdrawn.rs
@@ -13,11 +13,11 @@
 
 use grebedeck::gateway::Tasks;
 use grebedeck::gateway::attempt::{InFlight, open};
+use grebedeck::gateway::attempt_history::{AttemptHistory, FailureCause, Refusal};
 use grebedeck::gateway::buffer::Buffer;
 use grebedeck::gateway::request::{CallerRequest, RoutedRequest};
 use grebedeck::gateway::service::Gateway;
 use grebedeck::gateway::slot::{self, NoSlot, Slot};
-use grebedeck::gateway::tried::{AttemptHistory, FailureCause, Refusal};
 use grebedeck_gateway::{
     Admitted, ListedTarget, Permit, RunState, TargetEntry, TargetState, Verdict,
 };
