--- a/grebedeck/src/gateway.rs
+++ b/grebedeck/src/gateway.rs
@@ -7,6 +7,7 @@
 pub mod attempt;
 pub mod attempt_history;
 pub mod buffer;
+pub mod buffered;
 pub mod caller;
 pub mod cold;
 pub mod counters;
@@ -41,7 +42,6 @@
 pub mod trace;
 pub mod wait_queues;
 pub mod watch;
-pub mod whole;
 pub mod writer;
 
 use std::path::Path;
--- a/grebedeck/src/gateway/caller.rs
+++ b/grebedeck/src/gateway/caller.rs
@@ -14,14 +14,14 @@
 };
 
 use super::buffer::Buffer;
+use super::buffered::BufferedResponse;
 use super::mechanism::Mechanism;
 use super::options::{NO_MEMORY_WAIT, READ_AHEAD_BYTES, SITE_WAIT};
 use super::request::{CallerRequest, RoutedRequest};
 use super::service::Gateway;
 use super::trace::{Decision, Outcome, Trace};
-use super::whole::BufferedResponse;
 use super::writer::{self, WriteOutcome};
-use super::{stop, stream, whole};
+use super::{buffered, stop, stream};
 use crate::random::ProcessRandom;
 use crate::settings::millis;
 
@@ -157,7 +157,7 @@
     reuse: Reuse,
 ) -> Reuse {
     let answered = {
-        let answering = whole::serve(gateway, routed);
+        let answering = buffered::serve(gateway, routed);
         futures::select! {
             answer = answering.fuse() => Some(answer),
             // Dropping the attempt resets the connection to the target, so the target drops the
--- a/grebedeck/src/gateway/stream.rs
+++ b/grebedeck/src/gateway/stream.rs
@@ -18,6 +18,7 @@
 use super::attempt;
 use super::attempt_history::AttemptHistory;
 use super::buffer::Buffer;
+use super::buffered::BufferedResponse;
 use super::caller::{Reuse, write_buffered};
 use super::opened::OpenResponse;
 use super::options::{MAX_EVENT_BYTES, READ_AHEAD_BYTES};
@@ -26,7 +27,6 @@
 use super::slot::{self, NoSlot};
 use super::tempo::EventTiming;
 use super::trace::{Decision, Outcome};
-use super::whole::BufferedResponse;
 use super::writer::{self, WriteOutcome};
 
 /// Duration of a write after which the end of the target's connection is attributed to the caller:
