--- a/grebedeck/src/gateway.rs
+++ b/grebedeck/src/gateway.rs
@@ -21,7 +21,7 @@
 pub mod limits;
 pub mod loads;
 pub mod mechanism;
-pub mod opened;
+pub mod open_response;
 pub mod options;
 pub mod pace;
 pub mod peers;
--- a/grebedeck/src/gateway/attempt.rs
+++ b/grebedeck/src/gateway/attempt.rs
@@ -12,7 +12,7 @@
 use grebedeck_http::{BodyDecoder, Connection, Decoded, HttpError, ResponseHead, response_framing};
 
 use super::attempt_history::{AttemptFailure, FailureCause, Refusal};
-use super::opened::{OpenResponse, SentRequest};
+use super::open_response::{OpenResponse, SentRequest};
 use super::options::{CONNECT_LIMIT, MAX_ANSWER_HEAD_BYTES, UNREAD_BYTES};
 use super::refusing::refusal_cause;
 use super::request::RoutedRequest;
--- a/grebedeck/src/gateway/stream.rs
+++ b/grebedeck/src/gateway/stream.rs
@@ -20,7 +20,7 @@
 use super::buffer::Buffer;
 use super::buffered::BufferedResponse;
 use super::caller::{Reuse, write_buffered};
-use super::opened::OpenResponse;
+use super::open_response::OpenResponse;
 use super::options::{MAX_EVENT_BYTES, READ_AHEAD_BYTES};
 use super::request::RoutedRequest;
 use super::service::Gateway;
