--- a/grebedeck/src/gateway/stream.rs
+++ b/grebedeck/src/gateway/stream.rs
@@ -20,12 +20,12 @@
 use super::buffer::Buffer;
 use super::buffered::BufferedResponse;
 use super::caller::{Reuse, write_buffered};
+use super::event_timing::EventTiming;
 use super::open_response::OpenResponse;
 use super::options::{MAX_EVENT_BYTES, READ_AHEAD_BYTES};
 use super::request::RoutedRequest;
 use super::service::Gateway;
 use super::slot::{self, NoSlot};
-use super::tempo::EventTiming;
 use super::trace::{Decision, Outcome};
 use super::writer::{self, WriteOutcome};
 
