--- a/grebedeck/tests/pace.rs
+++ b/grebedeck/tests/pace.rs
@@ -1,12 +1,12 @@
 //! Observed pauses survive a reload of the settings.
 
-mod lone;
+mod unreachable;
 
 use std::time::Duration;
 
 use grebedeck::gateway::service::Gateway;
 use grebedeck::gateway::{GatewaySettings, Tasks};
-use lone::{NAMES, rule, settings};
+use unreachable::{NAMES, rule, settings};
 
 /// After each reload the gateway admitted as many requests as there were slots until it had
 /// observed pauses again.
--- a/grebedeck/tests/withdrawn.rs
+++ b/grebedeck/tests/withdrawn.rs
@@ -3,7 +3,7 @@
 //! accepting work by then gets nothing, and a request that was found to crash targets is neither
 //! sent nor kept in the queue.
 
-mod lone;
+mod unreachable;
 
 use std::io::Read;
 use std::net::{SocketAddr, TcpListener};
@@ -22,7 +22,7 @@
     Admitted, ListedTarget, Permit, RunState, TargetEntry, TargetState, Verdict,
 };
 use grebedeck_http::{Headers, RequestHead, ResponseHead};
-use lone::{NAMES, rule, settings};
+use unreachable::{NAMES, rule, settings};
 
 fn target(address: SocketAddr) -> TargetEntry {
     TargetEntry {
