--- a/grebedeck/src/gateway.rs
+++ b/grebedeck/src/gateway.rs
@@ -6,24 +6,26 @@
 
 pub mod assignment;
 pub mod attempt;
+pub mod attempt_history;
 pub mod buffer;
+pub mod buffered;
 pub mod caller;
 pub mod cold;
 pub mod counters;
 pub mod datagrams;
 pub mod dump;
-pub mod entering;
+pub mod enqueue;
+pub mod event_timing;
 pub mod gossip;
 pub mod halls;
 pub mod health;
 pub mod hold;
 pub mod limits;
 pub mod mechanism;
-pub mod opened;
+pub mod open_response;
 pub mod options;
 pub mod pace;
 pub mod peers;
-pub mod place;
 pub mod pool;
 pub mod prompts;
 pub mod quota;
@@ -32,16 +34,14 @@
 pub mod reload;
 pub mod request;
 pub mod service;
+pub mod slot;
 pub mod starts;
 pub mod stop;
 pub mod stream;
 pub mod suspects;
-pub mod tempo;
 pub mod trace;
-pub mod tried;
-pub mod waiting;
+pub mod wait_queues;
 pub mod watch;
-pub mod whole;
 pub mod writer;
 
 use std::path::Path;
@@ -167,6 +167,6 @@
         gateway.remove_expired_limits();
         gateway.refusals.borrow_mut().remove_expired(gateway.now());
         gateway.quarantine.borrow_mut().evict_expired(gateway.now());
-        gateway.pool.drop_rested(gateway.now());
+        gateway.pool.close_expired(gateway.now());
     }
 }
--- a/grebedeck/src/gateway/assignment.rs
+++ b/grebedeck/src/gateway/assignment.rs
@@ -14,9 +14,9 @@
 
 use super::hold;
 use super::options::{MIN_SLOT_WAIT, PROBE_INTERVAL, SLOT_POLL_PERIOD};
-use super::place::{self, NoPlace, Place};
 use super::service::Gateway;
-use super::waiting::Obstacle;
+use super::slot::{self, NoSlot, Slot};
+use super::wait_queues::Obstacle;
 
 /// Assigns places for as long as requests wait for a service.
 pub async fn serve_queue(gateway: Rc<Gateway>, service: ServiceName) {
@@ -25,7 +25,7 @@
         // missed.
         let slot_freed = gateway.slot_freed.listen();
         let Some(pause) = assign_places(&gateway, &service) else {
-            gateway.waiting.with(&service, |line| line.is_served = false);
+            gateway.waiting.with(&service, |line| line.has_task = false);
             return;
         };
         let _ = timeout(pause, slot_freed).await;
@@ -37,15 +37,15 @@
 pub fn assign_places(gateway: &Rc<Gateway>, service: &str) -> Option<Duration> {
     loop {
         let now = gateway.now();
-        let (request, tried) = gateway.waiting.next(service, now)?;
+        let (request, tried) = gateway.waiting.peek(service, now)?;
 
-        match place::take(gateway, &request, &tried, now) {
-            Ok(place) => {
+        match slot::try_acquire(gateway, &request, &tried, now) {
+            Ok(slot) => {
                 let next = gateway.waiting.with(service, |line| line.queue.pop(now)).flatten();
                 let (waiter, seeker) = next?;
                 gateway.counters.waiting.decrement(waiter.urgency);
                 // If the request has just left, dropping the place gives it back.
-                drop(seeker.answer.send(Ok(place)));
+                drop(seeker.reply.send(Ok(slot)));
             }
             Err(reason) => {
                 refuse_due(gateway, service, reason, now);
@@ -59,20 +59,20 @@
 }
 
 /// Returns the time until the next search if no notification comes before.
-fn search_interval(reason: NoPlace) -> Duration {
+fn search_interval(reason: NoSlot) -> Duration {
     match reason {
-        NoPlace::Paced(decrement) => decrement.min(PROBE_INTERVAL),
-        NoPlace::Out(_)
-        | NoPlace::NoTargets
-        | NoPlace::Evacuated
-        | NoPlace::Resting(_)
-        | NoPlace::Quarantined(_) => PROBE_INTERVAL,
-        NoPlace::Full | NoPlace::Behind(_) | NoPlace::Limited(_) => SLOT_POLL_PERIOD,
+        NoSlot::PromptLimited(left) => left.min(PROBE_INTERVAL),
+        NoSlot::Out(_)
+        | NoSlot::NoTargets
+        | NoSlot::Evacuated
+        | NoSlot::DelayRequested(_)
+        | NoSlot::Quarantined(_) => PROBE_INTERVAL,
+        NoSlot::Full | NoSlot::Outranked(_) | NoSlot::RateLimited(_) => SLOT_POLL_PERIOD,
     }
 }
 
 /// Records why there is no place; returns the reason.
-pub fn record_obstacle(gateway: &Gateway, service: &str, reason: NoPlace) -> NoPlace {
+pub fn record_obstacle(gateway: &Gateway, service: &str, reason: NoSlot) -> NoSlot {
     let obstacle = Obstacle { reason, is_overdue: gateway.is_outage_overdue(service) };
     gateway.waiting.with(service, |line| line.obstacle = obstacle);
 
@@ -80,18 +80,18 @@
 }
 
 /// Refuses requests for which waiting is no longer useful, and extends the wait of others.
-fn refuse_due(gateway: &Rc<Gateway>, service: &str, reason: NoPlace, now: Moment) {
+fn refuse_due(gateway: &Rc<Gateway>, service: &str, reason: NoSlot, now: Moment) {
     let previous = gateway.waiting.with(service, |line| line.obstacle);
     record_obstacle(gateway, service, reason);
     let is_overdue = gateway.is_outage_overdue(service);
     let is_same = |o: Obstacle| {
         o.reason.word() == reason.word()
             && o.is_overdue == is_overdue
-            && o.reason.is_near() == reason.is_near()
+            && o.reason.is_brief() == reason.is_brief()
     };
     let has_changed = !previous.is_some_and(is_same);
     // The estimated end of an overdue outage keeps moving for all requests.
-    let concerns_all = has_changed || (is_overdue && matches!(reason, NoPlace::Out(_)));
+    let concerns_all = has_changed || (is_overdue && matches!(reason, NoSlot::Out(_)));
     let affected = gateway.waiting.with(service, |line| {
         let tickets =
             if concerns_all { line.queue.tickets() } else { line.queue.expired_tickets(now) };
@@ -118,7 +118,7 @@
     gateway: &Gateway,
     service: &str,
     ticket: Ticket,
-    answer: Result<Place, NoPlace>,
+    reply: Result<Slot, NoSlot>,
     now: Moment,
 ) {
     let removed = gateway.waiting.with(service, |line| line.queue.remove(ticket, now)).flatten();
@@ -126,6 +126,6 @@
     if let Some((waiter, seeker)) = removed {
         gateway.counters.waiting.decrement(waiter.urgency);
         // A request that has just left needs no answer.
-        drop(seeker.answer.send(answer));
+        drop(seeker.reply.send(reply));
     }
 }
--- a/grebedeck/src/gateway/health.rs
+++ b/grebedeck/src/gateway/health.rs
@@ -11,13 +11,13 @@
 use grebedeck_kernel::log;
 use grebedeck_routing::LoadReport;
 
+use super::attempt_history::FailureCause;
 use super::mechanism::Mechanism;
 use super::options::{
     GROUP_REPORT_LIFETIME, OUTAGE_FAILURES, OVERDUE_ESTIMATE, PROBE_INTERVAL, PROCESS_START_TIME,
 };
-use super::pool::MAX_KEPT;
+use super::pool::MAX_IDLE_PER_TARGET;
 use super::service::Gateway;
-use super::tried::FailureCause;
 use crate::rank::message::RankLoad;
 
 impl Gateway {
@@ -25,10 +25,10 @@
     /// gateway's share of the connections that the target accepts in total.
     pub fn max_idle_connections(&self, service: &str) -> usize {
         let table = self.table();
-        let cap = table.service(service).map_or(MAX_KEPT, |s| s.max_connections);
+        let cap = table.service(service).map_or(MAX_IDLE_PER_TARGET, |s| s.max_connections);
         let share = cap / self.gateway_count() / 2;
 
-        share.clamp(1, MAX_KEPT)
+        share.clamp(1, MAX_IDLE_PER_TARGET)
     }
 
     /// Returns whether any rank has reported its load.
@@ -78,7 +78,7 @@
     /// seeds).
     pub fn should_move_stream(&self, target: &TargetEntry, pause_limit: Duration) -> bool {
         let now = self.now();
-        let is_late = self.pause(&target.service).is_some_and(|pause| pause > pause_limit);
+        let is_late = self.mean_pause(&target.service).is_some_and(|pause| pause > pause_limit);
 
         if !is_late || !self.uses(Mechanism::SlowMoves) {
             return false;
--- a/grebedeck/src/gateway/opened.rs
+++ b/grebedeck/src/gateway/open_response.rs
@@ -1,4 +1,4 @@
-//! An answer that has begun, and the connection on which it comes.
+//! A response whose head has arrived, and the connection that delivers its body.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -8,42 +8,42 @@
 use grebedeck_http::{BodyDecoder, Connection, HttpError, ResponseHead};
 
 use super::attempt::InFlight;
+use super::attempt_history::FailureCause;
 use super::buffer::Buffer;
 use super::options::{ANSWER_MEMORY_WAIT, MAX_BUFFERED_ANSWER_BYTES};
 use super::request::RoutedRequest;
 use super::service::Gateway;
-use super::tried::FailureCause;
 
 /// A request that was sent to a target.
-pub struct Sent<'a> {
+pub struct SentRequest<'a> {
     /// The request.
     pub request: &'a RoutedRequest,
-    /// The target.
+    /// Target.
     pub target: Arc<TargetEntry>,
-    /// When it was sent.
+    /// When the request was sent.
     pub sent_at: Moment,
 }
 
-/// An answer whose head is here.
-pub struct Opened<'a> {
-    /// The head.
+/// A response whose head has arrived.
+pub struct OpenResponse<'a> {
+    /// Response head.
     pub head: ResponseHead,
-    /// What it says.
+    /// Classification of the head.
     pub verdict: Verdict,
     pub(super) connection: Connection,
     pub(super) decoder: BodyDecoder,
-    pub(super) sent: Sent<'a>,
+    pub(super) sent: SentRequest<'a>,
     pub(super) in_flight: InFlight,
     pub(super) gateway: Rc<Gateway>,
 }
 
-impl Opened<'_> {
-    /// Reads the next part of the body, or `None` at its end.
+impl OpenResponse<'_> {
+    /// Reads the next part of the body; `None` at its end.
     pub async fn next_part(&mut self) -> Result<Option<bytes::Bytes>, HttpError> {
         self.connection.read_body(&mut self.decoder).await
     }
 
-    async fn next_part_of_whole(&mut self) -> Result<Option<bytes::Bytes>, FailureCause> {
+    async fn next_body_part(&mut self) -> Result<Option<bytes::Bytes>, FailureCause> {
         let next = self.next_part().await;
 
         next.map_err(|_| {
@@ -52,40 +52,43 @@
         })
     }
 
-    /// Reads the whole body, within the memory for answers, and keeps the connection for other requests. Where there
-    /// is no memory the target is not read from, and after a while the attempt is given up.
+    /// Reads the whole body within the memory budget for responses, and returns the connection to
+    /// the pool. While there is no memory the target is not read from; after [`MEMORY_WAIT`] the
+    /// attempt fails.
     pub async fn read_whole(mut self) -> Result<(ResponseHead, Buffer), FailureCause> {
         let mut body = Buffer::new(&self.gateway.answers);
-        // A known length is reserved at once, so that no two answers wait for each other's memory.
+        // A known length is reserved at once, so that no two responses wait for each other's
+        // memory.
         let len_bytes = self.decoder.left_bytes().unwrap_or(0).min(MAX_BUFFERED_ANSWER_BYTES);
 
         if !body.reserve(len_bytes, ANSWER_MEMORY_WAIT).await {
             return Err(FailureCause::NoMemory);
         }
 
-        while let Some(part) = self.next_part_of_whole().await? {
+        while let Some(part) = self.next_body_part().await? {
             if body.len() + part.len() > MAX_BUFFERED_ANSWER_BYTES {
                 return Err(FailureCause::Broken);
             }
 
-            if !body.push(&part) && !body.push_later(&part, ANSWER_MEMORY_WAIT).await {
+            if !body.push(&part) && !body.push_with_wait(&part, ANSWER_MEMORY_WAIT).await {
                 return Err(FailureCause::NoMemory);
             }
         }
 
         let head = self.head.clone();
-        let is_well = self.verdict != Verdict::Failure;
-        self.finish(is_well);
+        let is_success = self.verdict != Verdict::Failure;
+        self.finish(is_success);
 
         Ok((head, body))
     }
 
     /// Ends an attempt whose body has been read to its end.
-    pub fn finish(mut self, is_well: bool) {
-        self.in_flight.judge(is_well);
+    pub fn finish(mut self, is_success: bool) {
+        self.in_flight.record_outcome(is_success);
         self.connection.end_exchange();
 
-        // An answer that ends with its connection ends alike where its target crashes.
+        // A response that is delimited by the end of its connection looks the same if its target
+        // crashes.
         if !self.decoder.is_ended() {
             return;
         }
@@ -95,19 +98,19 @@
 
         if !self.gateway.is_earlier_start(target) {
             let now = self.gateway.now();
-            let max_kept = self.gateway.max_idle_connections(&target.service);
-            self.gateway.pool.put(target, self.connection, &self.head, max_kept, now);
+            let max_idle = self.gateway.max_idle_connections(&target.service);
+            self.gateway.pool.put(target, self.connection, &self.head, max_idle, now);
         }
     }
 
-    /// Ends an attempt whose answer broke.
-    pub fn broken(mut self) {
-        self.in_flight.judge(false);
+    /// Ends an attempt whose response broke.
+    pub fn record_broken(mut self) {
+        self.in_flight.record_outcome(false);
         self.note_broken();
     }
 
     fn note_broken(&self) {
-        let Sent { request, target, sent_at } = &self.sent;
+        let SentRequest { request, target, sent_at } = &self.sent;
 
         self.gateway.record_broken_attempt(request, target, *sent_at);
     }
--- a/grebedeck/src/gateway/refusing.rs
+++ b/grebedeck/src/gateway/refusing.rs
@@ -15,8 +15,8 @@
 use grebedeck_kernel::log;
 use grebedeck_routing::LoadReport;
 
+use super::attempt_history::{FailureCause, Refusal};
 use super::service::Gateway;
-use super::tried::{FailureCause, Refusal};
 use crate::settings::millis;
 
 /// Rate limit of log lines about refusing targets. Tens of targets may start and stop refusing, and
@@ -61,12 +61,13 @@
     /// Records a target's refusal. A target that reports itself full needs no backoff, as its load
     /// already keeps requests away, unless it requests a delay.
     pub fn record_refusal(&self, target: &TargetEntry, refusal: Refusal, load: Option<TargetLoad>) {
-        if refusal.asked.is_none() && load.is_some_and(|load| !load.has_room()) {
+        if refusal.requested_delay.is_none() && load.is_some_and(|load| !load.has_room()) {
             return self.refusals.borrow_mut().record_full(&target.id);
         }
 
         let now = self.now();
-        let effect = self.refusals.borrow_mut().record_refusal(target, refusal.asked, now);
+        let effect =
+            self.refusals.borrow_mut().record_refusal(target, refusal.requested_delay, now);
         let (id, status) = (target.id.as_str(), refusal.status);
 
         match effect {
--- a/grebedeck/src/gateway/service.rs
+++ b/grebedeck/src/gateway/service.rs
@@ -21,13 +21,14 @@
 use grebedeck_routing::{Chooser, CrashCooldown, LoadReport, Quarantine};
 
 use super::Tasks;
+use super::attempt_history::AttemptHistory;
 use super::buffer::SharedMemory;
 use super::counters::Counters;
 use super::halls::OperatorView;
 use super::limits::LimitState;
 use super::mechanism::Mechanism;
 use super::options::{GatewaySettings, MIN_ATTEMPT_TIME};
-use super::pool::Pool;
+use super::pool::ConnectionPool;
 use super::quota::QuotaState;
 use super::refusing::REFUSAL_LINES_PER_S;
 use super::relay::RelayState;
@@ -35,9 +36,8 @@
 use super::starts::UNREADABLE_LINES_PER_S;
 use super::stop::StopState;
 use super::suspects::CRASH_LINES_PER_S;
-use super::trace::{Decision, End, TRACES_PER_S, Trace};
-use super::tried::Tried;
-use super::waiting::Waiting;
+use super::trace::{Decision, Outcome, TRACES_PER_S, Trace};
+use super::wait_queues::WaitQueues;
 
 /// State of a gateway.
 pub struct Gateway {
@@ -52,7 +52,7 @@
     /// Executor of the gateway's tasks.
     pub tasks: Tasks,
     /// Idle connections to targets.
-    pub pool: Pool,
+    pub pool: ConnectionPool,
     /// Memory for callers' request bodies.
     pub bodies: Rc<SharedMemory>,
     /// Memory for targets' responses.
@@ -108,7 +108,7 @@
     /// Budget of log lines on targets that crash.
     pub(super) suspect_lines: RefCell<LineRateLimiter>,
     /// Requests that wait for a slot.
-    pub waiting: Waiting,
+    pub waiting: WaitQueues,
 }
 
 impl Gateway {
@@ -129,7 +129,7 @@
             trace_lines: RefCell::new(LineRateLimiter::new(TRACES_PER_S)),
             names,
             tasks,
-            pool: Pool::default(),
+            pool: ConnectionPool::default(),
             stop: StopState::default(),
             slot_freed: Event::new(),
             clock: Clock::default(),
@@ -157,7 +157,7 @@
             suspects_changed: Event::new(),
             suspect_updates: Event::new(),
             suspect_lines: RefCell::new(LineRateLimiter::new(CRASH_LINES_PER_S)),
-            waiting: Waiting::default(),
+            waiting: WaitQueues::default(),
         };
         gateway.update_gateway_count();
         gateway.set_evacuation_bound();
@@ -185,7 +185,7 @@
         }
 
         let table = RouteTable::new(site);
-        self.waiting.take_table(&table, self.uses(Mechanism::UrgencyOrder));
+        self.waiting.apply_table(&table, self.uses(Mechanism::UrgencyOrder));
         *self.table.borrow_mut() = Rc::new(table);
         *self.site.borrow_mut() = Some(site.clone());
         let services = site.services.iter().map(|service| service.name.clone()).collect();
@@ -315,7 +315,7 @@
 
     /// Returns whether a request may be retried on another target; if so, takes a retry from the
     /// budget.
-    pub fn authorize_retry(&self, request: &RoutedRequest, tried: &Tried) -> bool {
+    pub fn authorize_retry(&self, request: &RoutedRequest, tried: &AttemptHistory) -> bool {
         let rule = &request.admitted.rule;
         let now = self.now();
         let refused = if !answer::may_retry(rule.kind, tried.run_state()) {
@@ -333,7 +333,7 @@
         self.counters.retries.add(refused.unwrap_or("allowed"));
 
         if let Some(reason) = refused {
-            request.trace.add(now, Decision::NotRepeated { reason });
+            request.trace.add(now, Decision::NotRetried { reason });
         }
 
         refused.is_none()
@@ -370,7 +370,7 @@
     }
 
     /// Counts how a request ended, and logs its trace if it is of interest and the budget allows.
-    pub fn record_end(&self, trace: &Trace, end: End, is_late: bool) {
+    pub fn record_end(&self, trace: &Trace, end: Outcome, is_late: bool) {
         let now = self.now();
         self.counters.requests.add(if is_late && end.word() == "served" {
             "served_late"
@@ -378,7 +378,7 @@
             end.word()
         });
 
-        if !trace.is_wanted(end, is_late) {
+        if !trace.should_log(end, is_late) {
             return;
         }
 
--- a/grebedeck/src/gateway/stream.rs
+++ b/grebedeck/src/gateway/stream.rs
@@ -1,8 +1,9 @@
-//! Requests whose answers are streams of events.
+//! Serves requests whose responses are streams of events.
 //!
-//! Whole events are passed on as they come. Where the route allows it, another target goes on with a
-//! stream that broke, behind the last event that the caller has; the caller keeps the head that it got
-//! first. A stream that cannot go on ends with its connection, so that it never looks whole.
+//! Complete events are forwarded as they arrive. If the route allows it, a stream that broke is
+//! resumed on another target after the last event that the caller has; the caller keeps the head
+//! that it got first. A stream that cannot be resumed ends with its connection, so that it never
+//! looks complete.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -15,109 +16,110 @@
 use grebedeck_http::{Connection, ResponseHead, write_chunk};
 
 use super::attempt;
+use super::attempt_history::AttemptHistory;
 use super::buffer::Buffer;
-use super::caller::{After, write_whole};
-use super::opened::Opened;
+use super::buffered::BufferedResponse;
+use super::caller::{Reuse, write_buffered};
+use super::event_timing::EventTiming;
+use super::open_response::OpenResponse;
 use super::options::{MAX_EVENT_BYTES, READ_AHEAD_BYTES};
-use super::place::{self, NoPlace};
 use super::request::RoutedRequest;
 use super::service::Gateway;
-use super::tempo::Tempo;
-use super::trace::{Decision, End};
-use super::tried::Tried;
-use super::whole::WholeAnswer;
-use super::writer::{self, Written};
+use super::slot::{self, NoSlot};
+use super::trace::{Decision, Outcome};
+use super::writer::{self, WriteOutcome};
 
-/// How long a caller may hold a target up before a break is taken to be the caller's fault: targets cut off what
-/// stays unread for some seconds, and no write to a caller that reads takes as long.
-const HELD_UP: Duration = Duration::from_millis(500);
+/// Duration of a write after which the end of the target's connection is attributed to the caller:
+/// targets cut off responses that stay unread for some seconds, and no write to a caller that reads
+/// takes as long as this.
+const BLOCKED_WRITE: Duration = Duration::from_millis(500);
 
 /// How one target's part of a stream ended.
-enum Part {
-    /// The stream is whole; its status.
-    Whole(u16),
-    /// The target broke off.
+enum PartEnd {
+    /// The stream is complete; its status.
+    Complete(u16),
+    /// The target's connection broke.
     Broken,
-    /// The stream goes on at another target, as this one is slow.
+    /// The stream moves to another target because this one is slow.
     Moved,
-    /// The caller has gone.
+    /// The caller has left.
     CallerGone,
-    /// The caller takes nothing more.
+    /// The caller accepts no more data.
     CallerStalled,
-    /// The time is over.
+    /// The deadline has passed.
     TimedOut,
 }
 
 /// A stream on its way to a caller.
-struct Relay<'a> {
+struct StreamRelay<'a> {
     gateway: &'a Rc<Gateway>,
     request: &'a Rc<RoutedRequest>,
     connection: &'a mut Connection,
-    after: After,
+    reuse: Reuse,
     head_sent: bool,
-    tried: Tried,
-    /// Whether it was found that the stream cannot go on elsewhere, so that it is not asked at each event.
-    stays: bool,
-    /// When the request got its newest place.
-    placed_at: Option<Moment>,
-    tempo: Tempo,
-    /// Whether the caller held its target up with what was written last.
-    held_up: bool,
+    tried: AttemptHistory,
+    /// Whether the stream was found unable to move, so that this is not checked at each event.
+    is_pinned: bool,
+    /// When the request acquired its latest slot.
+    acquired_at: Option<Moment>,
+    timing: EventTiming,
+    /// Whether the latest write to the caller blocked for [`BLOCKED_WRITE`] or longer.
+    write_blocked: bool,
 }
 
-/// Serves a request; the answer is written to the caller as it comes.
+/// Serves a request; writes the response to the caller as it arrives.
 pub async fn serve(
     gateway: &Rc<Gateway>,
     request: &Rc<RoutedRequest>,
     connection: &mut Connection,
-    after: After,
-) -> After {
+    reuse: Reuse,
+) -> Reuse {
     gateway.record_first_attempt(&request.service);
-    let mut relay = Relay {
+    let mut relay = StreamRelay {
         gateway,
         request,
         connection,
-        after,
+        reuse,
         head_sent: false,
-        tried: Tried::default(),
-        stays: false,
-        placed_at: None,
-        tempo: Tempo::default(),
-        held_up: false,
+        tried: AttemptHistory::default(),
+        is_pinned: false,
+        acquired_at: None,
+        timing: EventTiming::default(),
+        write_blocked: false,
     };
-    let (end, after) = relay.run().await;
-    let is_late = relay.tempo.is_late;
+    let (end, reuse) = relay.run().await;
+    let is_late = relay.timing.is_late;
 
     if is_late {
-        request.trace.add(gateway.now(), relay.tempo.decision(request.request.arrived));
+        request.trace.add(gateway.now(), relay.timing.decision(request.request.arrived));
     }
 
     gateway.record_end(&request.trace, end, is_late);
 
-    after
+    reuse
 }
 
-impl Relay<'_> {
-    async fn run(&mut self) -> (End, After) {
+impl StreamRelay<'_> {
+    async fn run(&mut self) -> (Outcome, Reuse) {
         loop {
             let found = {
-                let finding = place::find(self.gateway, self.request, self.tried.targets());
+                let finding = slot::acquire(self.gateway, self.request, self.tried.targets());
                 futures::select! {
                     found = finding.fuse() => Some(found),
                     () = self.connection.closed(READ_AHEAD_BYTES).fuse() => None,
                 }
             };
-            let place = match found {
-                Some(Ok(place)) => place,
+            let slot = match found {
+                Some(Ok(slot)) => slot,
                 Some(Err(reason)) => return self.give_up(Some(reason)).await,
-                None => return (End::CallerGone, After::Close),
+                None => return (Outcome::CallerGone, Reuse::Close),
             };
 
-            let target = place.target.clone();
-            self.tried.begin(&target);
-            self.placed_at = Some(self.gateway.now());
+            let target = slot.target.clone();
+            self.tried.record_start(&target);
+            self.acquired_at = Some(self.gateway.now());
             let opened = {
-                let opening = attempt::open(self.gateway, self.request, place);
+                let opening = attempt::open(self.gateway, self.request, slot);
                 futures::select! {
                     opened = opening.fuse() => Some(opened),
                     () = self.connection.closed(READ_AHEAD_BYTES).fuse() => None,
@@ -125,21 +127,23 @@
             };
 
             match opened {
-                None => return (End::CallerGone, After::Close),
+                None => return (Outcome::CallerGone, Reuse::Close),
                 Some(Ok(opened)) if opened.head.is_success() => {
-                    match self.pass_on(opened, &target).await {
-                        Part::Whole(status) => return (End::Answered(status), self.after),
-                        Part::Broken => {}
-                        Part::Moved => continue,
-                        Part::CallerGone => return (End::CallerGone, After::Close),
-                        Part::CallerStalled => return (End::CallerStalled, After::Close),
-                        Part::TimedOut => return self.give_up(None).await,
+                    match self.forward(opened, &target).await {
+                        PartEnd::Complete(status) => {
+                            return (Outcome::FromTarget(status), self.reuse);
+                        }
+                        PartEnd::Broken => {}
+                        PartEnd::Moved => continue,
+                        PartEnd::CallerGone => return (Outcome::CallerGone, Reuse::Close),
+                        PartEnd::CallerStalled => return (Outcome::CallerStalled, Reuse::Close),
+                        PartEnd::TimedOut => return self.give_up(None).await,
                     }
                 }
-                Some(Ok(opened)) if !self.head_sent => return self.pass_failure(opened).await,
-                Some(Ok(opened)) => opened.broken(),
+                Some(Ok(opened)) if !self.head_sent => return self.forward_failure(opened).await,
+                Some(Ok(opened)) => opened.record_broken(),
                 Some(Err(failure)) => {
-                    if !self.tried.failed(&failure) {
+                    if !self.tried.record_failure(&failure) {
                         continue;
                     }
                 }
@@ -151,10 +155,10 @@
         }
     }
 
-    /// Passes events on until this target's part ends.
-    async fn pass_on(&mut self, mut opened: Opened<'_>, target: &TargetEntry) -> Part {
+    /// Forwards events until this target's part ends.
+    async fn forward(&mut self, mut opened: OpenResponse<'_>, target: &TargetEntry) -> PartEnd {
         let mut events = EventBuffer::default();
-        let mut kept = Buffer::new(&self.gateway.answers);
+        let mut reserved = Buffer::new(&self.gateway.answers);
 
         loop {
             let left = self.request.deadline.saturating_sub(self.gateway.now());
@@ -162,121 +166,124 @@
                 let reading = timeout(left, opened.next_part());
                 futures::select! {
                     next = reading.fuse() => next,
-                    () = self.connection.closed(READ_AHEAD_BYTES).fuse() => return Part::CallerGone,
+                    () = self.connection.closed(READ_AHEAD_BYTES).fuse() =>
+                        return PartEnd::CallerGone,
                 }
             };
 
             match next {
-                Err(_) => return Part::TimedOut,
+                Err(_) => return PartEnd::TimedOut,
                 Ok(Ok(Some(part))) => {
-                    let written = self.pass_part(&opened.head, &mut events, &part).await;
+                    let written = self.forward_part(&opened.head, &mut events, &part).await;
 
-                    if let Some(end) = self.after_write(written) {
+                    if let Some(end) = self.part_end_after_write(written) {
                         return end;
                     }
 
-                    if !kept.note_len(events.remainder().len())
+                    if !reserved.set_external_len(events.remainder().len())
                         || events.remainder().len() > MAX_EVENT_BYTES
                     {
-                        return self.break_off(opened, target);
+                        return self.record_break(opened, target);
                     }
 
-                    if self.moves_from(target) {
-                        return Part::Moved;
+                    if self.try_move(target) {
+                        return PartEnd::Moved;
                     }
                 }
-                // An answer that ends within an event was cut, whatever its framing says.
+                // A response that ends within an event was truncated, whatever its framing says.
                 Ok(Ok(None)) if events.remainder().is_empty() || !self.is_resumable() => {
                     let rest = Bytes::copy_from_slice(events.remainder());
                     let head = opened.head.clone();
                     opened.finish(true);
                     return self.finish(&head, rest).await;
                 }
-                // A target that was held up by its caller has cut off what was not read.
-                Ok(Ok(None) | Err(_)) if self.held_up => {
-                    return self.note_stalled(Written::Stalled);
+                // The target was blocked by a slow caller, and has cut off the unread response.
+                Ok(Ok(None) | Err(_)) if self.write_blocked => {
+                    return self.record_stalled(WriteOutcome::Stalled);
                 }
-                Ok(Ok(None) | Err(_)) => return self.break_off(opened, target),
+                Ok(Ok(None) | Err(_)) => return self.record_break(opened, target),
             }
         }
     }
 
-    fn break_off(&mut self, opened: Opened<'_>, target: &TargetEntry) -> Part {
-        opened.broken();
+    fn record_break(&mut self, opened: OpenResponse<'_>, target: &TargetEntry) -> PartEnd {
+        opened.record_broken();
         let (target, last_event_id) = (target.id.clone(), self.request.last_event_id.get());
-        let decision = Decision::Broke { target, last_event_id };
+        let decision = Decision::StreamBroke { target, last_event_id };
         self.request.trace.add(self.gateway.now(), decision);
 
-        Part::Broken
+        PartEnd::Broken
     }
 
-    /// Gets how a part ends whose caller did not take what was written.
-    fn after_write(&mut self, written: Written) -> Option<Part> {
+    /// End of the part if the caller did not accept a write.
+    fn part_end_after_write(&mut self, written: WriteOutcome) -> Option<PartEnd> {
         match written {
-            Written::Whole => None,
-            Written::Gone => Some(Part::CallerGone),
-            Written::Stalled | Written::TimedOut => Some(self.note_stalled(written)),
+            WriteOutcome::Complete => None,
+            WriteOutcome::Gone => Some(PartEnd::CallerGone),
+            WriteOutcome::Stalled | WriteOutcome::TimedOut => Some(self.record_stalled(written)),
         }
     }
 
-    fn note_stalled(&mut self, written: Written) -> Part {
+    fn record_stalled(&mut self, written: WriteOutcome) -> PartEnd {
         self.gateway.counters.unread.add("stream_stalled");
         let last_event_id = self.request.last_event_id.get();
-        self.request.trace.add(self.gateway.now(), Decision::Unread { written, last_event_id });
+        self.request
+            .trace
+            .add(self.gateway.now(), Decision::ResponseUnread { written, last_event_id });
 
-        Part::CallerStalled
+        PartEnd::CallerStalled
     }
 
-    /// Tells whether the stream is to go on at another target; takes the repeat for it.
-    fn moves_from(&mut self, target: &TargetEntry) -> bool {
+    /// Whether the stream should move to another target; takes the retry for it.
+    fn try_move(&mut self, target: &TargetEntry) -> bool {
         let Some(limit) = self.request.admitted.rule.pause_limit.filter(|_| self.is_resumable())
         else {
             return false;
         };
-        let wants_to = !self.stays
+        let wants_to = !self.is_pinned
             && self.gateway.should_move_stream(target, limit)
-            && place::has_place(self.gateway, self.request, self.tried.targets());
+            && slot::has_free_slot(self.gateway, self.request, self.tried.targets());
 
         if !wants_to {
             return false;
         }
 
         if !self.gateway.authorize_retry(self.request, &self.tried) {
-            self.stays = true;
+            self.is_pinned = true;
             return false;
         }
 
         let (target, last_event_id) = (target.id.clone(), self.request.last_event_id.get());
-        let decision = Decision::Moved { target, last_event_id };
+        let decision = Decision::StreamMoved { target, last_event_id };
         self.request.trace.add(self.gateway.now(), decision);
         self.gateway.counters.attempts.add("moved");
         true
     }
 
-    /// Notes the time until the first event, or the pause since the one before.
-    fn note_event(&mut self) {
+    /// Records the time to the first event, or the pause since the previous one.
+    fn record_event(&mut self) {
         let now = self.gateway.now();
         let rule = &self.request.admitted.rule;
         let counters = &self.gateway.counters;
 
         let arrived = self.request.request.arrived;
 
-        match self.tempo.note_event(arrived, now) {
+        match self.timing.record_event(arrived, now) {
             None => {
                 let first = now - arrived;
                 counters.first_event_times.record(first, "stream");
 
-                if let Some(placed_at) = self.placed_at {
-                    self.gateway.record_answer_time(&self.request.service, now - placed_at);
+                if let Some(acquired_at) = self.acquired_at {
+                    self.gateway.record_answer_time(&self.request.service, now - acquired_at);
                 }
 
-                self.tempo.is_late |= first > rule.objective;
+                self.timing.is_late |= first > rule.objective;
             }
             Some(pause) => {
                 counters.pauses.record(pause, "stream");
 
-                self.gateway.note_pause(&self.request.service, pause, rule);
-                self.tempo.is_late |= rule.pause_limit.is_some_and(|limit| pause > limit);
+                self.gateway.record_pause(&self.request.service, pause, rule);
+                self.timing.is_late |= rule.pause_limit.is_some_and(|limit| pause > limit);
             }
         }
     }
@@ -285,14 +292,14 @@
         self.request.admitted.rule.kind == RequestKind::Stream { is_resumable: true }
     }
 
-    /// Passes the whole events on that a part completes; tells whether the caller takes them.
-    async fn pass_part(
+    /// Forwards the events that `part` completes; returns whether the caller accepted them.
+    async fn forward_part(
         &mut self,
         head: &ResponseHead,
         events: &mut EventBuffer,
         part: &[u8],
-    ) -> Written {
-        self.note_event();
+    ) -> WriteOutcome {
+        self.record_event();
 
         if !self.is_resumable() {
             return self.write_body(head, part).await;
@@ -303,7 +310,7 @@
         let mut data = Vec::new();
 
         while let Some(event) = events.next_event() {
-            // A target that goes on with a stream may begin with an event that the caller has.
+            // The target that resumes a stream may start with an event that the caller already has.
             let is_old = event.id.is_some() && event.id <= last_id.get();
 
             if !is_old {
@@ -313,30 +320,30 @@
         }
 
         if data.is_empty() {
-            return Written::Whole;
+            return WriteOutcome::Complete;
         }
 
         self.write_body(head, &data).await
     }
 
-    async fn finish(&mut self, head: &ResponseHead, rest: Bytes) -> Part {
+    async fn finish(&mut self, head: &ResponseHead, rest: Bytes) -> PartEnd {
         let mut bytes = self.head_bytes(head);
         write_chunk(&rest, &mut bytes);
         bytes.extend_from_slice(b"0\r\n\r\n");
 
         let written = self.write(&bytes).await;
 
-        self.after_write(written).unwrap_or(Part::Whole(head.status))
+        self.part_end_after_write(written).unwrap_or(PartEnd::Complete(head.status))
     }
 
-    async fn write_body(&mut self, head: &ResponseHead, data: &[u8]) -> Written {
+    async fn write_body(&mut self, head: &ResponseHead, data: &[u8]) -> WriteOutcome {
         let mut bytes = self.head_bytes(head);
         write_chunk(data, &mut bytes);
 
         self.write(&bytes).await
     }
 
-    /// Gets the bytes of the answer's head where it has not been sent yet.
+    /// Encoded response head; empty if it has been sent.
     fn head_bytes(&mut self, head: &ResponseHead) -> Vec<u8> {
         let mut bytes = Vec::new();
 
@@ -347,7 +354,7 @@
         let mut headers = head.headers.end_to_end();
         headers.push("transfer-encoding", "chunked");
 
-        if self.after == After::Close {
+        if self.reuse == Reuse::Close {
             headers.push("connection", "close");
         }
 
@@ -355,41 +362,42 @@
         bytes
     }
 
-    async fn write(&mut self, bytes: &[u8]) -> Written {
+    async fn write(&mut self, bytes: &[u8]) -> WriteOutcome {
         let began = self.gateway.now();
         let written =
             writer::write(self.gateway, self.connection, bytes, self.request.deadline).await;
-        self.held_up = self.gateway.now() - began >= HELD_UP;
+        self.write_blocked = self.gateway.now() - began >= BLOCKED_WRITE;
 
         written
     }
 
-    /// Passes a target's own failure on.
-    async fn pass_failure(&mut self, opened: Opened<'_>) -> (End, After) {
+    /// Forwards a failure reported by the target itself.
+    async fn forward_failure(&mut self, opened: OpenResponse<'_>) -> (Outcome, Reuse) {
         let left = self.request.deadline.saturating_sub(self.gateway.now());
 
         match timeout(left, opened.read_whole()).await {
-            Ok(Ok((head, body))) => self.answer(WholeAnswer::of_target(head, body)).await,
+            Ok(Ok((head, body))) => self.answer(BufferedResponse::from_target(head, body)).await,
             Ok(Err(_)) | Err(_) => self.give_up(None).await,
         }
     }
 
-    async fn answer(&mut self, answer: WholeAnswer) -> (End, After) {
-        let end = answer.end();
+    async fn answer(&mut self, answer: BufferedResponse) -> (Outcome, Reuse) {
+        let end = answer.outcome();
 
-        (end, write_whole(self.gateway, self.connection, answer, self.after).await)
+        (end, write_buffered(self.gateway, self.connection, answer, self.reuse).await)
     }
 
-    /// Ends the request without an answer, or cuts the stream that has begun.
-    async fn give_up(&mut self, reason: Option<NoPlace>) -> (End, After) {
+    /// Ends the request without a target's response, or truncates a stream that has started.
+    async fn give_up(&mut self, reason: Option<NoSlot>) -> (Outcome, Reuse) {
         if self.head_sent {
-            return (End::Cut, After::Close);
+            return (Outcome::Truncated, Reuse::Close);
         }
 
-        let is_late = self.request.is_late(self.gateway.now());
+        let is_late = self.request.is_past_deadline(self.gateway.now());
         let reason =
-            reason.unwrap_or_else(|| NoPlace::after_attempts(self.gateway, &self.request.service));
+            reason.unwrap_or_else(|| NoSlot::after_attempts(self.gateway, &self.request.service));
         let run = self.tried.run_state();
-        self.answer(WholeAnswer::given_up(run, is_late, reason, self.request, self.gateway)).await
+        self.answer(BufferedResponse::given_up(run, is_late, reason, self.request, self.gateway))
+            .await
     }
 }
--- a/grebedeck/src/gateway/suspects.rs
+++ b/grebedeck/src/gateway/suspects.rs
@@ -21,9 +21,9 @@
 
 use super::assignment;
 use super::options::CONNECT_TIMEOUT;
-use super::place::NoPlace;
 use super::request::RoutedRequest;
 use super::service::Gateway;
+use super::slot::NoSlot;
 use super::trace::Decision;
 use crate::liveness;
 use crate::random::ProcessRandom;
@@ -40,13 +40,13 @@
 impl Gateway {
     /// Waits until it is decided whether a request may be sent; immediate unless crashes are
     /// suspected.
-    pub(super) async fn await_clearance(&self, request: &RoutedRequest) -> Result<(), NoPlace> {
+    pub(super) async fn await_clearance(&self, request: &RoutedRequest) -> Result<(), NoSlot> {
         loop {
             let changed = self.suspects_changed.listen();
 
             match self.clearance(request) {
                 Clearance::Allow | Clearance::Trial => return Ok(()),
-                Clearance::Refuse(left) => return Err(NoPlace::Quarantined(left)),
+                Clearance::Refuse(left) => return Err(NoSlot::Quarantined(left)),
                 Clearance::Wait(wait) => {
                     self.counters.quarantine.add("held");
                     // Either way, the clearance is checked again.
@@ -257,7 +257,7 @@
             }
 
             if let Clearance::Refuse(left) = self.clearance(&request) {
-                let reason = NoPlace::Quarantined(left);
+                let reason = NoSlot::Quarantined(left);
                 assignment::answer_waiter(self, &service, ticket, Err(reason), now);
             }
         }
--- a/grebedeck/src/gateway/trace.rs
+++ b/grebedeck/src/gateway/trace.rs
@@ -1,8 +1,8 @@
-//! The decisions on one request, kept until it ends and logged if it ended badly.
+//! Decisions on one request, kept until it ends and logged if it ended badly.
 //!
-//! Logging each decision of each request would cost more than the requests themselves. So they are kept
-//! in memory, and written out, one line each, for requests that failed or were late, and for one in some
-//! hundred of the others. Under load only so many traces are written in a second; how many were left
+//! Logging each decision of each request would cost more than serving the requests. Decisions are
+//! therefore kept in memory and logged, one line each, for requests that failed or were late and
+//! for a sample of the others. The number of traces logged per second is limited; the number left
 //! out is logged and counted.
 
 use std::cell::RefCell;
@@ -15,193 +15,193 @@
 use grebedeck_routing::Fingerprint;
 use grebedeck_routing::fingerprint::to_hex;
 
-use super::place::NoPlace;
-use super::tried::Failure;
-use super::writer::Written;
+use super::attempt_history::AttemptFailure;
+use super::slot::NoSlot;
+use super::writer::WriteOutcome;
 use crate::random::ProcessRandom;
 
-/// One in so many requests that ended well is logged, as a sample of what is usual.
+/// Requests that ended well per logged sample.
 const SAMPLE_ONE_IN: usize = 200;
-/// Stories that are logged in a second at the most.
+/// Most traces logged per second.
 pub const TRACES_PER_S: f64 = 20.0;
-/// Most decisions that are kept of one request; more than attempts and waits ever make.
+/// Most decisions kept per request; more than its attempts and waits make.
 const MAX_DECISIONS: usize = 24;
 
-/// A decision on a request, with what decided it.
+/// A decision on a request, with the values that led to it.
 #[derive(Clone, Debug)]
 pub enum Decision {
-    /// It was allowed.
+    /// The request was allowed.
     Admitted {
-        /// The route.
+        /// Route.
         route: String,
-        /// The service that was drawn.
+        /// Service that was drawn.
         service: String,
-        /// The version of the configuration.
+        /// Version of the configuration.
         version: u64,
-        /// Time that is left to it.
+        /// Time until the deadline.
         left: Duration,
     },
-    /// The configuration does not allow it.
+    /// The configuration does not allow the request.
     Denied {
-        /// Why.
+        /// Reason.
         reason: Denied,
-        /// The version of the configuration.
+        /// Version of the configuration.
         version: u64,
     },
     /// A target was chosen.
     Chosen {
-        /// The target.
+        /// Target.
         target: String,
-        /// Requests that it is expected to have.
+        /// Requests expected to be in flight on the target.
         load: f64,
-        /// Requests that it works on at the same time.
-        places: f64,
-        /// Age of what the target said of its load, if it did.
+        /// Requests that the target executes at the same time.
+        slots: f64,
+        /// Age of the target's load report, if there is one.
         load_age: Option<Duration>,
-        /// Load that is allowed, in requests for each place.
+        /// Allowed load, in requests per slot.
         allowed: f64,
-        /// The last event that the caller has, where a stream goes on.
+        /// Last event that the caller has, if a stream is resumed.
         last_event_id: Option<u64>,
     },
-    /// It got in line for a place.
-    InLine {
-        /// Its urgency.
+    /// The request was queued for a slot.
+    Queued {
+        /// Urgency of the request.
         urgency: Urgency,
-        /// Those who go before it, as far as that could be known.
+        /// Requests ahead of it, as far as known.
         ahead: usize,
     },
-    /// There was no place.
-    NoPlace {
-        /// Why.
-        reason: NoPlace,
-        /// Mean load of the service's targets, in requests for each place.
+    /// There was no slot.
+    NoSlot {
+        /// Reason.
+        reason: NoSlot,
+        /// Mean load of the service's targets, in requests per slot.
         load: f64,
-        /// Load that is allowed, in requests for each place.
+        /// Allowed load, in requests per slot.
         allowed: f64,
-        /// Mean pause between events, if streams were seen lately.
+        /// Mean pause between events, if streams were observed lately.
         pause: Option<Duration>,
         /// Urgency of the request.
         urgency: Urgency,
-        /// Targets that take work.
+        /// Targets that accept work.
         targets: usize,
     },
     /// An attempt failed.
-    Failed {
-        /// The target.
+    AttemptFailed {
+        /// Target.
         target: String,
-        /// What went wrong.
-        failure: Failure,
+        /// The failure.
+        failure: AttemptFailure,
     },
-    /// The target answered with its own failure.
+    /// The target responded with a failure of its own.
     TargetFailed {
-        /// The target.
+        /// Target.
         target: String,
-        /// The status.
+        /// HTTP status.
         status: u16,
     },
     /// A stream broke.
-    Broke {
-        /// The target.
+    StreamBroke {
+        /// Target.
         target: String,
-        /// The last event that the caller has.
+        /// Last event that the caller has.
         last_event_id: Option<u64>,
     },
-    /// A stream goes on at another target, as this one is slow.
-    Moved {
-        /// The target.
+    /// A stream moves to another target because this one is slow.
+    StreamMoved {
+        /// The slow target.
         target: String,
-        /// The last event that the caller has.
+        /// Last event that the caller has.
         last_event_id: Option<u64>,
     },
-    /// A stream came slower than its route wants.
-    Slow {
-        /// Time until the first event.
+    /// A stream was slower than its route's objective or pause limit.
+    StreamSlow {
+        /// Time to the first event.
         first_event: Duration,
         /// Longest pause between two events.
         longest_pause: Duration,
-        /// When the longest pause ended, since the request arrived.
+        /// Time from the request's arrival to the end of the longest pause.
         pause_ended: Duration,
     },
-    /// The caller takes nothing of what is written to it.
-    Unread {
-        /// How it ended.
-        written: Written,
-        /// The last event that the caller has.
+    /// The caller does not read the response.
+    ResponseUnread {
+        /// How writing ended.
+        written: WriteOutcome,
+        /// Last event that the caller has.
         last_event_id: Option<u64>,
     },
-    /// It ran on a target when the connection broke, which may have been the target's crash.
+    /// The request ran on a target when the connection broke, possibly as the target crashed.
     Suspected {
-        /// The target.
+        /// Target.
         target: String,
-        /// What the request has in common with its caller's other tries.
+        /// Fingerprint that the request shares with its caller's retries.
         fingerprint: Fingerprint,
-        /// Crashes that spoke against it before.
+        /// Earlier crashes attributed to the fingerprint.
         crashes: usize,
     },
-    /// Another attempt was not made.
-    NotRepeated {
-        /// Why.
+    /// The request was not retried.
+    NotRetried {
+        /// Reason.
         reason: &'static str,
     },
 }
 
 /// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
-    /// The caller got a target's answer.
-    Answered(u16),
-    /// The caller got this process's own answer.
-    Own(u16),
-    /// The stream was cut.
-    Cut,
-    /// The caller has gone.
+pub enum Outcome {
+    /// The caller got a target's response with this status.
+    FromTarget(u16),
+    /// The caller got a response of the gateway itself with this status.
+    Local(u16),
+    /// The stream was truncated.
+    Truncated,
+    /// The caller has left.
     CallerGone,
-    /// The caller takes nothing of its answer.
+    /// The caller did not read the response.
     CallerStalled,
 }
 
-impl End {
-    /// Gets a short word for logs and counters.
+impl Outcome {
+    /// Label in logs and counters.
     pub fn word(self) -> &'static str {
         match self {
-            End::Answered(200..300) => "served",
-            End::Answered(_) => "target_failed",
-            End::Own(401 | 404) => "denied",
-            End::Own(503) => "refused",
-            End::Own(504) => "timed_out",
-            End::Own(_) => "failed",
-            End::Cut => "cut",
-            End::CallerGone => "caller_gone",
-            End::CallerStalled => "caller_stalled",
+            Outcome::FromTarget(200..300) => "served",
+            Outcome::FromTarget(_) => "target_failed",
+            Outcome::Local(401 | 404) => "denied",
+            Outcome::Local(503) => "refused",
+            Outcome::Local(504) => "timed_out",
+            Outcome::Local(_) => "failed",
+            Outcome::Truncated => "cut",
+            Outcome::CallerGone => "caller_gone",
+            Outcome::CallerStalled => "caller_stalled",
         }
     }
 
     fn is_bad(self) -> bool {
-        !matches!(self, End::Answered(200..300) | End::CallerGone)
+        !matches!(self, Outcome::FromTarget(200..300) | Outcome::CallerGone)
     }
 
     fn status(self) -> u16 {
         match self {
-            End::Answered(status) | End::Own(status) => status,
-            End::Cut | End::CallerGone | End::CallerStalled => 0,
+            Outcome::FromTarget(status) | Outcome::Local(status) => status,
+            Outcome::Truncated | Outcome::CallerGone | Outcome::CallerStalled => 0,
         }
     }
 }
 
-/// The decisions on one request.
+/// Decisions on one request.
 pub struct Trace {
     id: String,
-    began: Moment,
+    started_at: Moment,
     decisions: RefCell<Vec<(Moment, Decision)>>,
 }
 
 impl Trace {
-    /// Begins a request's trace.
-    pub fn new(id: &str, began: Moment) -> Self {
-        Trace { id: id.to_string(), began, decisions: RefCell::default() }
+    /// Starts the trace of a request.
+    pub fn new(id: &str, started_at: Moment) -> Self {
+        Trace { id: id.to_string(), started_at, decisions: RefCell::default() }
     }
 
-    /// Adds a decision.
+    /// Records a decision.
     pub fn add(&self, now: Moment, decision: Decision) {
         let mut decisions = self.decisions.borrow_mut();
 
@@ -210,13 +210,14 @@
         }
     }
 
-    /// Tells whether the trace of a request that ended so is to be logged, if there is room.
-    pub fn is_wanted(&self, end: End, is_late: bool) -> bool {
+    /// Whether the trace of a request with this outcome should be logged, subject to the rate
+    /// limit.
+    pub fn should_log(&self, end: Outcome, is_late: bool) -> bool {
         end.is_bad() || is_late || ProcessRandom::default().below(SAMPLE_ONE_IN) == 0
     }
 
-    /// Logs all decisions and the end.
-    pub fn log(&self, end: End, now: Moment) {
+    /// Logs all decisions and the outcome.
+    pub fn log(&self, end: Outcome, now: Moment) {
         for (at, decision) in self.decisions.borrow().iter() {
             self.log_decision(self.offset_ms(*at), decision);
         }
@@ -230,7 +231,7 @@
     }
 
     fn offset_ms(&self, at: Moment) -> u64 {
-        at.saturating_sub(self.began).as_millis() as u64
+        at.saturating_sub(self.started_at).as_millis() as u64
     }
 
     fn log_decision(&self, at_ms: u64, decision: &Decision) {
@@ -251,23 +252,23 @@
                     request, at_ms, reason = reason.label(), config_version = *version,
                 });
             }
-            Decision::Chosen { target, load, places, load_age, allowed, last_event_id } => {
+            Decision::Chosen { target, load, slots, load_age, allowed, last_event_id } => {
                 log::info!("target chosen", kv: {
                     request, at_ms,
                     target = target.as_str(),
                     load = *load,
-                    places = *places,
+                    places = *slots,
                     load_age_ms = optional_ms(*load_age),
                     allowed_load = rounded(*allowed),
                     last_event_id = optional(*last_event_id),
                 });
             }
-            Decision::InLine { urgency, ahead } => {
-                log::info!("in line", kv: {
+            Decision::Queued { urgency, ahead } => {
+                log::info!("request queued", kv: {
                     request, at_ms, urgency = urgency.1, key_urgency = urgency.0, ahead = *ahead,
                 });
             }
-            Decision::NoPlace { reason, load, allowed, pause, urgency, targets } => {
+            Decision::NoSlot { reason, load, allowed, pause, urgency, targets } => {
                 log::info!("no place", kv: {
                     request, at_ms,
                     reason = reason.word(),
@@ -279,7 +280,7 @@
                     targets = *targets,
                 });
             }
-            Decision::Failed { target, failure } => {
+            Decision::AttemptFailed { target, failure } => {
                 let refusal = failure.refusal;
                 log::info!("attempt failed", kv: {
                     request, at_ms,
@@ -287,7 +288,7 @@
                     cause = failure.cause.word(),
                     may_have_run = failure.run == RunState::MayHaveRun,
                     status = optional(refusal.map(|r| r.status.into())),
-                    asked_rest_ms = optional_ms(refusal.and_then(|r| r.asked)),
+                    asked_rest_ms = optional_ms(refusal.and_then(|r| r.requested_delay)),
                 });
             }
             Decision::TargetFailed { target, status } => {
@@ -295,21 +296,21 @@
                     request, at_ms, target = target.as_str(), status = *status,
                 });
             }
-            Decision::Broke { target, last_event_id } => {
+            Decision::StreamBroke { target, last_event_id } => {
                 log::info!("stream broke", kv: {
                     request, at_ms,
                     target = target.as_str(),
                     last_event_id = optional(*last_event_id),
                 });
             }
-            Decision::Moved { target, last_event_id } => {
+            Decision::StreamMoved { target, last_event_id } => {
                 log::info!("stream moved", kv: {
                     request, at_ms,
                     target = target.as_str(),
                     last_event_id = optional(*last_event_id),
                 });
             }
-            Decision::Slow { first_event, longest_pause, pause_ended } => {
+            Decision::StreamSlow { first_event, longest_pause, pause_ended } => {
                 log::info!("stream slow", kv: {
                     request, at_ms,
                     first_event_ms = first_event.as_millis() as u64,
@@ -317,7 +318,7 @@
                     pause_ended_ms = pause_ended.as_millis() as u64,
                 });
             }
-            Decision::Unread { written, last_event_id } => {
+            Decision::ResponseUnread { written, last_event_id } => {
                 log::info!("answer unread", kv: {
                     request, at_ms,
                     why = written.word(),
@@ -332,14 +333,14 @@
                     crashes = *crashes,
                 });
             }
-            Decision::NotRepeated { reason } => {
+            Decision::NotRetried { reason } => {
                 log::info!("not repeated", kv: { request, at_ms, reason = *reason });
             }
         }
     }
 }
 
-/// Gets a number that a log line can hold; what is not known is told as -1.
+/// Number for a log line; -1 if it is unknown.
 fn optional(number: Option<u64>) -> i64 {
     number.and_then(|n| i64::try_from(n).ok()).unwrap_or(-1)
 }
@@ -348,7 +349,7 @@
     optional(time.map(|t| t.as_millis() as u64))
 }
 
-/// Rounds to hundredths, and an unlimited number to -1, which JSON can hold.
+/// Rounds to hundredths; an unlimited value becomes -1, as JSON has no infinity.
 fn rounded(number: f64) -> f64 {
     if number.is_finite() { (number * 100.0).round() / 100.0 } else { -1.0 }
 }
--- a/grebedeck/src/gateway/writer.rs
+++ b/grebedeck/src/gateway/writer.rs
@@ -9,47 +9,48 @@
 
 use super::service::Gateway;
 
-/// How long a caller may take nothing of what is written to it: as long as callers stay with a stream that says
-/// nothing, and less than the seconds after which a target cuts off an answer that stays unread.
+/// Longest time without progress on a write to a caller: as long as callers stay with a silent
+/// stream, and less than the few seconds after which a target cuts off an unread response.
 pub const STALL_LIMIT: Duration = Duration::from_secs(2);
 
 /// How a write to a caller ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Written {
-    /// The caller's system has all of it.
-    Whole,
-    /// The caller has gone.
+pub enum WriteOutcome {
+    /// The caller's system has received all bytes.
+    Complete,
+    /// The caller has left.
     Gone,
-    /// The caller took nothing for [`STALL_LIMIT`].
+    /// The caller accepted nothing for [`STALL_LIMIT`].
     Stalled,
-    /// The time was over.
+    /// The deadline passed.
     TimedOut,
 }
 
-impl Written {
-    /// Gets a short word for logs.
+impl WriteOutcome {
+    /// Label in logs.
     pub fn word(self) -> &'static str {
         match self {
-            Written::Whole => "whole",
-            Written::Gone => "gone",
-            Written::Stalled => "stalled",
-            Written::TimedOut => "timed_out",
+            WriteOutcome::Complete => "whole",
+            WriteOutcome::Gone => "gone",
+            WriteOutcome::Stalled => "stalled",
+            WriteOutcome::TimedOut => "timed_out",
         }
     }
 }
 
-/// Writes bytes until a time.
+/// Writes bytes, with a deadline.
 pub async fn write(
     gateway: &Gateway,
     connection: &Connection,
     mut bytes: &[u8],
     until: Moment,
-) -> Written {
-    let mut reader = WriteTimeouts::new(STALL_LIMIT, until, gateway.now());
+) -> WriteOutcome {
+    let mut timeouts = WriteTimeouts::new(STALL_LIMIT, until, gateway.now());
 
     while !bytes.is_empty() {
-        // What is taken at once is written also where the time is over, such as after a freeze of this process.
-        let left = match reader.remaining(gateway.now()) {
+        // A last attempt is made even after the deadline, such as after a freeze of this process,
+        // so that bytes the socket accepts at once are written.
+        let left = match timeouts.remaining(gateway.now()) {
             WriteWait::For(left) => left,
             WriteWait::Stalled | WriteWait::TimedOut => Duration::ZERO,
         };
@@ -57,16 +58,16 @@
         match timeout(left, connection.write_some(bytes)).await {
             Ok(Ok(taken)) => {
                 bytes = &bytes[taken..];
-                reader.record_progress(gateway.now());
+                timeouts.record_progress(gateway.now());
             }
-            Ok(Err(_)) => return Written::Gone,
-            Err(_) => match reader.remaining(gateway.now()) {
+            Ok(Err(_)) => return WriteOutcome::Gone,
+            Err(_) => match timeouts.remaining(gateway.now()) {
                 WriteWait::For(_) => {}
-                WriteWait::Stalled => return Written::Stalled,
-                WriteWait::TimedOut => return Written::TimedOut,
+                WriteWait::Stalled => return WriteOutcome::Stalled,
+                WriteWait::TimedOut => return WriteOutcome::TimedOut,
             },
         }
     }
 
-    Written::Whole
+    WriteOutcome::Complete
 }
