--- a/grebedeck-config/src/accept.rs
+++ b/grebedeck-config/src/accept.rs
@@ -11,15 +11,15 @@
 use crate::document::Document;
 
 /// How often a change is tried on top of newer revisions before it is refused.
-pub const MAX_RACES: u32 = 8;
+pub const MAX_RETRIES: u32 = 8;
 /// How often a lost answer is read back before the outcome is left unknown.
-pub const MAX_READ_BACKS: u32 = 6;
+pub const MAX_READ_BACK_RETRIES: u32 = 6;
 
 /// What the driver has to do next.
 #[derive(Clone, Debug, PartialEq)]
-pub enum AcceptOrder {
-    /// Bring the replica to the newest revision of the store, then call [`Acceptor::at_head`].
-    Catch,
+pub enum AcceptAction {
+    /// Bring the replica to the newest revision of the store, then call [`Acceptor::on_caught_up`].
+    CatchUp,
     /// Write the entry if the store's head is at the revision before it and its id is unused.
     Write(Box<LogEntry>),
     /// Read which revision the change's id is stored under, after a wait.
@@ -41,7 +41,7 @@
 
 /// What the store said.
 #[derive(Clone, Debug, PartialEq)]
-pub enum StoreAnswer {
+pub enum StoreResponse {
     /// The transaction took effect.
     Written,
     /// The head had moved or the id was used; nothing was written.
@@ -73,35 +73,38 @@
 pub struct Acceptor {
     change: Change,
     phase: Phase,
-    races: u32,
+    retries: u32,
     /// The newest revision that a write without an answer was to make.
     lost_write: Revision,
 }
 
 impl Acceptor {
     /// Starts with a change; the first order is to catch up with the store.
-    pub fn new(change: Change) -> (Self, AcceptOrder) {
-        (Acceptor { change, phase: Phase::Catching, races: 0, lost_write: 0 }, AcceptOrder::Catch)
+    pub fn new(change: Change) -> (Self, AcceptAction) {
+        (
+            Acceptor { change, phase: Phase::Catching, retries: 0, lost_write: 0 },
+            AcceptAction::CatchUp,
+        )
     }
 
     /// Goes on with the store's newest document; `known` is where the id is already stored.
-    pub fn at_head(
+    pub fn on_caught_up(
         &mut self,
         revision: Revision,
         document: &Document,
         known: Option<Revision>,
         now_unix_ms: UnixMs,
-    ) -> AcceptOrder {
+    ) -> AcceptAction {
         assert_eq!(self.phase, Phase::Catching, "the head is read only while catching up");
 
         if let Some(accepted) = known {
-            return AcceptOrder::Finish(AcceptResult::Accepted(accepted));
+            return AcceptAction::Finish(AcceptResult::Accepted(accepted));
         }
 
         match self.check_at(revision, document) {
             Ok(next) => {
                 self.phase = Phase::Writing(revision + 1);
-                AcceptOrder::Write(Box::new(LogEntry {
+                AcceptAction::Write(Box::new(LogEntry {
                     revision: revision + 1,
                     digest: next.digest(),
                     accepted_unix_ms: now_unix_ms,
@@ -109,8 +112,8 @@
                 }))
             }
             // A write that was lost on its way can still take effect while the head is below it.
-            Err(_) if self.lost_write > revision => AcceptOrder::Finish(AcceptResult::Unknown),
-            Err(faults) => AcceptOrder::Finish(AcceptResult::Refused(faults)),
+            Err(_) if self.lost_write > revision => AcceptAction::Finish(AcceptResult::Unknown),
+            Err(faults) => AcceptAction::Finish(AcceptResult::Refused(faults)),
         }
     }
 
@@ -123,7 +126,7 @@
             return Err(faults);
         }
 
-        if self.races > MAX_RACES {
+        if self.retries > MAX_RETRIES {
             let mut faults = Faults::default();
             faults.add("id", &self.change.id, "a retry later: too many changes raced with it");
 
@@ -134,39 +137,39 @@
     }
 
     /// Goes on with what the store said to the last order.
-    pub fn answered(&mut self, answer: StoreAnswer) -> AcceptOrder {
+    pub fn on_response(&mut self, answer: StoreResponse) -> AcceptAction {
         match (self.phase.clone(), answer) {
-            (Phase::Writing(revision), StoreAnswer::Written) => {
-                AcceptOrder::Finish(AcceptResult::Accepted(revision))
+            (Phase::Writing(revision), StoreResponse::Written) => {
+                AcceptAction::Finish(AcceptResult::Accepted(revision))
             }
-            (Phase::Writing(_), StoreAnswer::Conflict) => {
+            (Phase::Writing(_), StoreResponse::Conflict) => {
                 self.phase = Phase::CheckingConflict { tries: 0 };
-                AcceptOrder::ReadBack
+                AcceptAction::ReadBack
             }
             (Phase::Writing(revision), _) => {
                 self.lost_write = revision;
                 self.phase = Phase::ReadingBack { revision, tries: 0 };
-                AcceptOrder::ReadBack
+                AcceptAction::ReadBack
             }
-            (_, StoreAnswer::Found(revision)) => {
-                AcceptOrder::Finish(AcceptResult::Accepted(revision))
+            (_, StoreResponse::Found(revision)) => {
+                AcceptAction::Finish(AcceptResult::Accepted(revision))
             }
-            (Phase::CheckingConflict { .. }, StoreAnswer::Absent) => self.race_again(),
+            (Phase::CheckingConflict { .. }, StoreResponse::Absent) => self.race_again(),
             // A lost write may still be on its way, so an absent id proves nothing by itself. The
             // same write is tried again instead: only one of the two can pass the condition.
-            (Phase::ReadingBack { .. }, StoreAnswer::Absent) => self.race_again(),
+            (Phase::ReadingBack { .. }, StoreResponse::Absent) => self.race_again(),
             (Phase::ReadingBack { revision, tries }, _) => {
                 self.read_again(tries, |tries| Phase::ReadingBack { revision, tries })
             }
             (Phase::CheckingConflict { tries }, _) => {
                 self.read_again(tries, |tries| Phase::CheckingConflict { tries })
             }
-            (Phase::Catching, _) => AcceptOrder::Catch,
+            (Phase::Catching, _) => AcceptAction::CatchUp,
         }
     }
 
     /// Gives up because the store cannot be read.
-    pub fn unreachable(&self) -> AcceptResult {
+    pub fn give_up(&self) -> AcceptResult {
         if self.lost_write > 0 {
             return AcceptResult::Unknown;
         }
@@ -176,19 +179,19 @@
         AcceptResult::Refused(faults)
     }
 
-    fn race_again(&mut self) -> AcceptOrder {
-        self.races += 1;
+    fn race_again(&mut self) -> AcceptAction {
+        self.retries += 1;
         self.phase = Phase::Catching;
 
-        AcceptOrder::Catch
+        AcceptAction::CatchUp
     }
 
-    fn read_again(&mut self, tries: u32, phase: impl Fn(u32) -> Phase) -> AcceptOrder {
-        if tries >= MAX_READ_BACKS {
-            return AcceptOrder::Finish(AcceptResult::Unknown);
+    fn read_again(&mut self, tries: u32, phase: impl Fn(u32) -> Phase) -> AcceptAction {
+        if tries >= MAX_READ_BACK_RETRIES {
+            return AcceptAction::Finish(AcceptResult::Unknown);
         }
 
         self.phase = phase(tries + 1);
-        AcceptOrder::ReadBack
+        AcceptAction::ReadBack
     }
 }
--- a/grebedeck-config/src/change.rs
+++ b/grebedeck-config/src/change.rs
@@ -81,7 +81,7 @@
     }
 
     /// Tells whether the change concerns organisations alone.
-    pub fn is_of_organisations(&self) -> bool {
+    pub fn changes_only_organisations(&self) -> bool {
         self.targets.is_empty() && self.groups.is_empty() && self.selectors.is_empty()
     }
 
@@ -112,8 +112,8 @@
     /// Adds a fault for each organisation that had capacity, or is new, and is left with none.
     fn check_capacity(&self, document: &Document, next: &Document, faults: &mut Faults) {
         let before = Routes::new(0, document);
-        let after = before.next(0, next, self);
-        let only_these = self.is_of_organisations();
+        let after = before.after_change(0, next, self);
+        let only_these = self.changes_only_organisations();
 
         for name in next.organisations.keys() {
             // Nothing changes for organisations that such a change does not name.
--- a/grebedeck-config/src/document.rs
+++ b/grebedeck-config/src/document.rs
@@ -267,7 +267,7 @@
 }
 
 fn check_selector(field: String, text: &str, faults: &mut Faults) -> Option<Selector> {
-    match Selector::try_new(text) {
+    match Selector::parse(text) {
         Ok(selector) => Some(selector),
         Err(error) => {
             faults.add(field, text, format!("a selector; {error}"));
--- a/grebedeck-config/src/lib.rs
+++ b/grebedeck-config/src/lib.rs
@@ -17,10 +17,10 @@
 pub mod routes;
 pub mod selector;
 
-pub use accept::{AcceptOrder, AcceptResult, Acceptor, StoreAnswer};
+pub use accept::{AcceptAction, AcceptResult, Acceptor, StoreResponse};
 pub use change::{Change, LogEntry, Snapshot};
 pub use document::{Document, Group, Organisation, SelectorRule, Target};
 pub use label::Labels;
-pub use replica::{Adoption, CatchUp, Replica};
+pub use replica::{ApplyResult, CatchUp, Replica};
 pub use routes::{Route, Routes};
 pub use selector::Selector;
--- a/grebedeck-config/src/replica.rs
+++ b/grebedeck-config/src/replica.rs
@@ -13,13 +13,13 @@
 use crate::document::Document;
 
 /// How many log entries a replica keeps to hand on to its peers.
-pub const KEPT_ENTRIES: usize = 1024;
+pub const MAX_KEPT_ENTRIES: usize = 1024;
 
 /// What became of an offered entry or snapshot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Adoption {
+pub enum ApplyResult {
     /// The replica is at a new revision.
-    Adopted,
+    Applied,
     /// The offer was not newer.
     Stale,
     /// Entries between the replica's revision and the offer are missing.
@@ -106,23 +106,23 @@
     }
 
     /// Takes in what another process sent to catch up; tells what became of it.
-    pub fn take(&mut self, catch_up: CatchUp) -> Adoption {
-        self.take_each(catch_up, |_, _| ())
+    pub fn apply(&mut self, catch_up: CatchUp) -> ApplyResult {
+        self.apply_each(catch_up, |_, _| ())
     }
 
     /// Takes in what another process sent to catch up. `adopted` is called at each new revision,
     /// with the change that made it, or without one after a whole document.
-    pub fn take_each(
+    pub fn apply_each(
         &mut self,
         catch_up: CatchUp,
         mut adopted: impl FnMut(&Replica, Option<&Change>),
-    ) -> Adoption {
+    ) -> ApplyResult {
         match catch_up {
-            CatchUp::Entries(entries) => self.take_entries(entries, adopted),
+            CatchUp::Entries(entries) => self.apply_entries(entries, adopted),
             CatchUp::Snapshot(snapshot) => {
-                let adoption = self.adopt_snapshot(*snapshot);
+                let adoption = self.apply_snapshot(*snapshot);
 
-                if adoption == Adoption::Adopted {
+                if adoption == ApplyResult::Applied {
                     adopted(self, None);
                 }
 
@@ -131,24 +131,24 @@
         }
     }
 
-    fn take_entries(
+    fn apply_entries(
         &mut self,
         entries: Vec<LogEntry>,
         mut adopted: impl FnMut(&Replica, Option<&Change>),
-    ) -> Adoption {
-        let mut whole = Adoption::Stale;
+    ) -> ApplyResult {
+        let mut whole = ApplyResult::Stale;
 
         for entry in entries {
             let change = entry.change.clone();
 
-            match self.adopt(entry) {
-                Adoption::Adopted => {
+            match self.apply_entry(entry) {
+                ApplyResult::Applied => {
                     adopted(self, Some(&change));
-                    whole = Adoption::Adopted;
+                    whole = ApplyResult::Applied;
                 }
                 // Entries that were known already may stand before the new ones.
-                Adoption::Stale => {}
-                fault => return if whole == Adoption::Adopted { whole } else { fault },
+                ApplyResult::Stale => {}
+                fault => return if whole == ApplyResult::Applied { whole } else { fault },
             }
         }
 
@@ -156,40 +156,40 @@
     }
 
     /// Adopts the next log entry.
-    pub fn adopt(&mut self, entry: LogEntry) -> Adoption {
+    pub fn apply_entry(&mut self, entry: LogEntry) -> ApplyResult {
         if entry.revision <= self.revision {
-            return Adoption::Stale;
+            return ApplyResult::Stale;
         }
 
         if entry.revision != self.revision + 1 {
-            return Adoption::Gap;
+            return ApplyResult::Gap;
         }
 
         let (next, digest) = entry.change.apply_with_digest(&self.document, self.digest);
 
         if digest != entry.digest {
-            return Adoption::Corrupt;
+            return ApplyResult::Corrupt;
         }
 
         self.digest = digest;
         self.move_to(entry.revision, entry.accepted_unix_ms, next);
         self.entries.push_back(entry);
 
-        if self.entries.len() > KEPT_ENTRIES {
+        if self.entries.len() > MAX_KEPT_ENTRIES {
             self.entries.pop_front();
         }
 
-        Adoption::Adopted
+        ApplyResult::Applied
     }
 
     /// Adopts a whole document where it is newer.
-    pub fn adopt_snapshot(&mut self, mut snapshot: Snapshot) -> Adoption {
+    pub fn apply_snapshot(&mut self, mut snapshot: Snapshot) -> ApplyResult {
         if snapshot.revision <= self.revision {
-            return Adoption::Stale;
+            return ApplyResult::Stale;
         }
 
         if snapshot.document.digest() != snapshot.digest {
-            return Adoption::Corrupt;
+            return ApplyResult::Corrupt;
         }
 
         snapshot.document.share_labels();
@@ -198,7 +198,7 @@
         // The kept entries no longer reach up to the revision in force.
         self.entries.clear();
 
-        Adoption::Adopted
+        ApplyResult::Applied
     }
 
     fn move_to(&mut self, revision: Revision, accepted_unix_ms: UnixMs, document: Document) {
--- a/grebedeck-config/src/routes.rs
+++ b/grebedeck-config/src/routes.rs
@@ -92,8 +92,8 @@
     /// Gives the routes of the document that a change has led to.
     ///
     /// A change of organisations alone costs no more than the organisations that it names.
-    pub fn next(&self, revision: Revision, document: &Document, change: &Change) -> Self {
-        if !change.is_of_organisations() {
+    pub fn after_change(&self, revision: Revision, document: &Document, change: &Change) -> Self {
+        if !change.changes_only_organisations() {
             return Routes::new(revision, document);
         }
 
@@ -137,7 +137,7 @@
     }
 
     /// Tells whether the organisation is in the configuration.
-    pub fn knows(&self, organisation: &str) -> bool {
+    pub fn has_organisation(&self, organisation: &str) -> bool {
         self.class_of.contains_key(organisation)
     }
 
@@ -190,8 +190,8 @@
 }
 
 fn compile_rule(rule: &SelectorRule) -> Option<Rule> {
-    let traffic = Selector::try_new(&rule.traffic).ok()?;
-    let capacity = Selector::try_new(&rule.capacity).ok()?;
+    let traffic = Selector::parse(&rule.traffic).ok()?;
+    let capacity = Selector::parse(&rule.capacity).ok()?;
 
     Some(Rule { traffic, capacity })
 }
--- a/grebedeck-config/src/selector.rs
+++ b/grebedeck-config/src/selector.rs
@@ -36,7 +36,7 @@
 
 impl Selector {
     /// Parses a selector, or says what is wrong and where.
-    pub fn try_new(text: &str) -> Result<Self, String> {
+    pub fn parse(text: &str) -> Result<Self, String> {
         let mut requirements = Vec::new();
 
         for part in split_requirements(text)? {
--- a/grebedeck-config/tests/accept.rs
+++ b/grebedeck-config/tests/accept.rs
@@ -1,10 +1,10 @@
-//! Accepting changes under races, lost answers and writes that land late.
+//! Accepting changes under retries, lost answers and writes that land late.
 
 use std::collections::BTreeMap;
 
 use grebedeck_config::{
-    AcceptOrder, AcceptResult, Acceptor, Adoption, CatchUp, Change, LogEntry, Organisation,
-    Replica, SelectorRule, StoreAnswer, Target,
+    AcceptAction, AcceptResult, Acceptor, ApplyResult, CatchUp, Change, LogEntry, Organisation,
+    Replica, SelectorRule, StoreResponse, Target,
 };
 use proptest::prelude::*;
 
@@ -38,7 +38,7 @@
 
 struct Operator {
     acceptor: Acceptor,
-    order: AcceptOrder,
+    order: AcceptAction,
     id: String,
     replica: Replica,
 }
@@ -53,31 +53,31 @@
 
     fn step(&mut self, store: &mut Store, fate: u8) {
         self.order = match self.order.clone() {
-            AcceptOrder::Catch => {
+            AcceptAction::CatchUp => {
                 let before = self.replica.revision();
-                self.replica.take(CatchUp::Entries(store.log.clone()));
+                self.replica.apply(CatchUp::Entries(store.log.clone()));
                 assert!(self.replica.revision() >= before);
                 let known = store.ids.get(&self.id).copied();
                 let document = self.replica.document().clone();
-                self.acceptor.at_head(self.replica.revision(), &document, known, 0)
+                self.acceptor.on_caught_up(self.replica.revision(), &document, known, 0)
             }
-            AcceptOrder::Write(entry) => self.acceptor.answered(match fate % 4 {
+            AcceptAction::Write(entry) => self.acceptor.on_response(match fate % 4 {
                 0 => {
                     store.late.push(*entry);
-                    StoreAnswer::Lost
+                    StoreResponse::Lost
                 }
                 1 => {
                     store.write(&entry);
-                    StoreAnswer::Lost
+                    StoreResponse::Lost
                 }
-                _ if store.write(&entry) => StoreAnswer::Written,
-                _ => StoreAnswer::Conflict,
+                _ if store.write(&entry) => StoreResponse::Written,
+                _ => StoreResponse::Conflict,
             }),
-            AcceptOrder::ReadBack => {
-                self.acceptor.answered(match (fate % 3, store.ids.get(&self.id)) {
-                    (0, _) => StoreAnswer::Lost,
-                    (_, Some(revision)) => StoreAnswer::Found(*revision),
-                    (_, None) => StoreAnswer::Absent,
+            AcceptAction::ReadBack => {
+                self.acceptor.on_response(match (fate % 3, store.ids.get(&self.id)) {
+                    (0, _) => StoreResponse::Lost,
+                    (_, Some(revision)) => StoreResponse::Found(*revision),
+                    (_, None) => StoreResponse::Absent,
                 })
             }
             finished => finished,
@@ -90,7 +90,7 @@
 
     fn result(&self) -> Option<&AcceptResult> {
         match &self.order {
-            AcceptOrder::Finish(result) => Some(result),
+            AcceptAction::Finish(result) => Some(result),
             _ => None,
         }
     }
@@ -137,8 +137,8 @@
         }
 
         let mut replica = Replica::default();
-        let adoption = replica.take(CatchUp::Entries(store.log.clone()));
-        prop_assert!(store.log.is_empty() || adoption == Adoption::Adopted);
+        let adoption = replica.apply(CatchUp::Entries(store.log.clone()));
+        prop_assert!(store.log.is_empty() || adoption == ApplyResult::Applied);
         prop_assert_eq!(replica.revision(), store.log.len() as u64);
     }
 }
@@ -194,12 +194,12 @@
     };
     let mut replica = Replica::default();
 
-    assert_eq!(replica.adopt(entry(2, 1)), Adoption::Gap);
+    assert_eq!(replica.apply_entry(entry(2, 1)), ApplyResult::Gap);
     let mut corrupt = entry(1, 1);
     corrupt.digest ^= 1;
-    assert_eq!(replica.adopt(corrupt), Adoption::Corrupt);
-    assert_eq!(replica.adopt(entry(1, 1)), Adoption::Adopted);
-    assert_eq!(replica.adopt(entry(1, 2)), Adoption::Stale);
-    assert_eq!(replica.adopt_snapshot(Default::default()), Adoption::Stale);
+    assert_eq!(replica.apply_entry(corrupt), ApplyResult::Corrupt);
+    assert_eq!(replica.apply_entry(entry(1, 1)), ApplyResult::Applied);
+    assert_eq!(replica.apply_entry(entry(1, 2)), ApplyResult::Stale);
+    assert_eq!(replica.apply_snapshot(Default::default()), ApplyResult::Stale);
     assert!(replica.document().organisations.contains_key("org-1"));
 }
--- a/grebedeck-config/tests/selector.rs
+++ b/grebedeck-config/tests/selector.rs
@@ -23,7 +23,7 @@
         ("!hall", false),
         ("hall=b", false),
     ] {
-        let selector = Selector::try_new(text).unwrap();
+        let selector = Selector::parse(text).unwrap();
         assert_eq!(selector.matches(&gold), expected, "{text}");
     }
 }
@@ -38,7 +38,7 @@
         ("a=b c", "not a label's value"),
         ("tier in (a) b", "after `)`"),
     ] {
-        let error = Selector::try_new(text).unwrap_err();
+        let error = Selector::parse(text).unwrap_err();
         assert!(error.contains(word), "{text}: {error}");
     }
 }
@@ -49,8 +49,8 @@
 
     #[test]
     fn no_text_makes_the_parser_panic(text in "[a-c!=,() in]{0,40}") {
-        if let Ok(selector) = Selector::try_new(&text) {
-            let parsed_again = Selector::try_new(&text).unwrap();
+        if let Ok(selector) = Selector::parse(&text) {
+            let parsed_again = Selector::parse(&text).unwrap();
             prop_assert_eq!(selector, parsed_again);
         }
     }
--- a/grebedeck-config/tests/spread.rs
+++ b/grebedeck-config/tests/spread.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use grebedeck_config::{Adoption, CatchUp, Change, LogEntry, Organisation, Replica};
+use grebedeck_config::{ApplyResult, CatchUp, Change, LogEntry, Organisation, Replica};
 use proptest::prelude::*;
 
 const REVISIONS: u64 = 12;
@@ -22,7 +22,7 @@
         };
         let digest = change.apply(replica.document()).digest();
         let entry = LogEntry { revision, digest, accepted_unix_ms: revision, change };
-        assert_eq!(replica.adopt(entry.clone()), Adoption::Adopted);
+        assert_eq!(replica.apply_entry(entry.clone()), ApplyResult::Applied);
         log.push(entry);
     }
 
@@ -74,18 +74,18 @@
             match event {
                 Event::ReadStore { process, until } => {
                     let entries = log.iter().filter(|e| e.revision <= until).cloned().collect();
-                    replicas[process].take(CatchUp::Entries(entries));
+                    replicas[process].apply(CatchUp::Entries(entries));
                 }
                 Event::Tell { from, to, lacked } => {
                     if let Some(catch_up) = replicas[from].catch_up(lacked) {
                         sent.push(catch_up.clone());
-                        prop_assert!(replicas[to].take(catch_up) != Adoption::Corrupt);
+                        prop_assert!(replicas[to].apply(catch_up) != ApplyResult::Corrupt);
                     }
                 }
                 Event::Deliver { message, to } => {
                     if !sent.is_empty() {
                         let message = sent[message % sent.len()].clone();
-                        prop_assert!(replicas[to].take(message) != Adoption::Corrupt);
+                        prop_assert!(replicas[to].apply(message) != ApplyResult::Corrupt);
                     }
                 }
                 Event::Replace { process } => {
@@ -105,7 +105,7 @@
 
         // Whatever was lost before, one more round brings everybody to the newest revision.
         for replica in &mut replicas {
-            replica.take(CatchUp::Entries(log.clone()));
+            replica.apply(CatchUp::Entries(log.clone()));
             prop_assert_eq!(replica.revision(), REVISIONS);
         }
     }
@@ -114,13 +114,13 @@
 #[test]
 fn a_snapshot_that_does_not_fit_its_digest_is_not_adopted() {
     let mut source = Replica::default();
-    source.take(CatchUp::Entries(log()));
+    source.apply(CatchUp::Entries(log()));
     let mut snapshot = source.snapshot();
     snapshot.document.organisations.insert("smuggled".to_string(), Organisation::default());
     let mut replica = Replica::default();
 
-    assert_eq!(replica.adopt_snapshot(snapshot), Adoption::Corrupt);
+    assert_eq!(replica.apply_snapshot(snapshot), ApplyResult::Corrupt);
     assert_eq!(replica.revision(), 0);
-    assert_eq!(replica.adopt_snapshot(source.snapshot()), Adoption::Adopted);
+    assert_eq!(replica.apply_snapshot(source.snapshot()), ApplyResult::Applied);
     assert_eq!(replica.digest(), source.digest());
 }
--- a/grebedeck-lab/src/cost/probes/config.rs
+++ b/grebedeck-lab/src/cost/probes/config.rs
@@ -73,7 +73,7 @@
 fn replica(organisations: usize) -> Replica {
     let mut replica = Replica::default();
     let document = document(organisations, FLEET_TARGETS);
-    replica.adopt_snapshot(Snapshot {
+    replica.apply_snapshot(Snapshot {
         revision: 1,
         accepted_unix_ms: 1,
         digest: document.digest(),
@@ -108,8 +108,8 @@
 
     least_s(5, || {
         let mut next = replica.clone();
-        next.adopt(entry.clone());
-        black_box(routes.next(2, next.document(), &entry.change));
+        next.apply_entry(entry.clone());
+        black_box(routes.after_change(2, next.document(), &entry.change));
     }) * 1e3
 }
 
--- a/grebedeck/src/config/service.rs
+++ b/grebedeck/src/config/service.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, PoisonError, RwLock};
 
-use grebedeck_config::{Adoption, CatchUp, Replica, Routes};
+use grebedeck_config::{ApplyResult, CatchUp, Replica, Routes};
 use grebedeck_core::time::unix_ms;
 use grebedeck_core::{Moment, Reason, Revision, UnixMs};
 use grebedeck_kernel::{Clock, Counter, Metrics, Service, log};
@@ -71,12 +71,12 @@
     }
 
     /// Takes in what the store or a peer offers; a newer revision is in force when this returns.
-    pub fn take(&self, offer: CatchUp) -> Adoption {
+    pub fn take(&self, offer: CatchUp) -> ApplyResult {
         let mut replica = self.lock();
-        let adoption = replica.take_each(offer, |replica, change| {
+        let adoption = replica.apply_each(offer, |replica, change| {
             let (revision, document) = (replica.revision(), replica.document());
             let routes = match change {
-                Some(change) => self.routes().next(revision, document, change),
+                Some(change) => self.routes().after_change(revision, document, change),
                 None => Routes::new(revision, document),
             };
 
@@ -84,7 +84,7 @@
         });
         self.adoptions.add(adoption_word(adoption));
 
-        if adoption == Adoption::Adopted {
+        if adoption == ApplyResult::Applied {
             log::info!("configuration in force", kv: { revision = replica.revision() });
             let _ = self.changed.try_send(replica.revision());
         }
@@ -169,11 +169,11 @@
     }
 }
 
-fn adoption_word(adoption: Adoption) -> &'static str {
+fn adoption_word(adoption: ApplyResult) -> &'static str {
     match adoption {
-        Adoption::Adopted => "adopted",
-        Adoption::Stale => "stale",
-        Adoption::Gap => "gap",
-        Adoption::Corrupt => "corrupt",
+        ApplyResult::Applied => "adopted",
+        ApplyResult::Stale => "stale",
+        ApplyResult::Gap => "gap",
+        ApplyResult::Corrupt => "corrupt",
     }
 }
--- a/grebedeck/src/config/store.rs
+++ b/grebedeck/src/config/store.rs
@@ -9,7 +9,8 @@
 use std::time::Duration;
 
 use grebedeck_config::{
-    AcceptOrder, AcceptResult, Acceptor, Adoption, CatchUp, Change, LogEntry, Snapshot, StoreAnswer,
+    AcceptAction, AcceptResult, Acceptor, ApplyResult, CatchUp, Change, LogEntry, Snapshot,
+    StoreResponse,
 };
 use grebedeck_core::error::protocol_error;
 use grebedeck_core::time::unix_ms;
@@ -71,7 +72,7 @@
 
             match self.service.take(CatchUp::Entries(entries)) {
                 // A stale offer means that a peer was faster.
-                Adoption::Adopted | Adoption::Stale => {}
+                ApplyResult::Applied | ApplyResult::Stale => {}
                 adoption => return protocol_error(format!("the store's log: {adoption:?}")),
             }
 
@@ -126,36 +127,34 @@
 
         loop {
             order = match order {
-                AcceptOrder::Finish(result) => {
+                AcceptAction::Finish(result) => {
                     self.settled(&id, &result).await;
                     return result;
                 }
-                AcceptOrder::Catch => match self.catch(&id, &mut acceptor).await {
+                AcceptAction::CatchUp => match self.catch(&id, &mut acceptor).await {
                     Ok((version, next)) => {
                         head_version = version;
                         next
                     }
-                    Err(_) if tries >= MAX_CATCH_TRIES => {
-                        AcceptOrder::Finish(acceptor.unreachable())
-                    }
+                    Err(_) if tries >= MAX_CATCH_TRIES => AcceptAction::Finish(acceptor.give_up()),
                     Err(_) => {
                         tries += 1;
                         async_std::task::sleep(READ_BACK_WAIT).await;
-                        AcceptOrder::Catch
+                        AcceptAction::CatchUp
                     }
                 },
-                AcceptOrder::Write(entry) => {
-                    acceptor.answered(self.write(&id, &entry, head_version).await)
+                AcceptAction::Write(entry) => {
+                    acceptor.on_response(self.write(&id, &entry, head_version).await)
                 }
-                AcceptOrder::ReadBack => {
+                AcceptAction::ReadBack => {
                     async_std::task::sleep(READ_BACK_WAIT).await;
-                    acceptor.answered(self.read_back(&id).await)
+                    acceptor.on_response(self.read_back(&id).await)
                 }
             };
         }
     }
 
-    async fn catch(&self, id: &str, acceptor: &mut Acceptor) -> Result<(u64, AcceptOrder)> {
+    async fn catch(&self, id: &str, acceptor: &mut Acceptor) -> Result<(u64, AcceptAction)> {
         let (head, version, known) = self.read_head(Some(id)).await?;
         self.catch_up_to(head).await?;
 
@@ -163,10 +162,10 @@
         let document = self.service.with_replica(|r| r.document().clone());
         let revision = self.service.revision().max(head);
 
-        Ok((version, acceptor.at_head(revision, &document, known, unix_ms())))
+        Ok((version, acceptor.on_caught_up(revision, &document, known, unix_ms())))
     }
 
-    async fn write(&self, id: &str, entry: &LogEntry, head_version: u64) -> StoreAnswer {
+    async fn write(&self, id: &str, entry: &LogEntry, head_version: u64) -> StoreResponse {
         let mut transaction = Transaction {
             conditions: BTreeMap::from([(HEAD_KEY.into(), head_version), (change_key(id), 0)]),
             writes: BTreeMap::new(),
@@ -179,18 +178,18 @@
         match self.table.write(&transaction).await {
             Ok(TransactionEnd::Written) => {
                 self.service.take(CatchUp::Entries(vec![entry.clone()]));
-                StoreAnswer::Written
+                StoreResponse::Written
             }
-            Ok(TransactionEnd::Conflict) => StoreAnswer::Conflict,
-            Err(_) => StoreAnswer::Lost,
+            Ok(TransactionEnd::Conflict) => StoreResponse::Conflict,
+            Err(_) => StoreResponse::Lost,
         }
     }
 
-    async fn read_back(&self, id: &str) -> StoreAnswer {
+    async fn read_back(&self, id: &str) -> StoreResponse {
         match self.read_head(Some(id)).await {
-            Ok((_, _, Some(revision))) => StoreAnswer::Found(revision),
-            Ok((_, _, None)) => StoreAnswer::Absent,
-            Err(_) => StoreAnswer::Lost,
+            Ok((_, _, Some(revision))) => StoreResponse::Found(revision),
+            Ok((_, _, None)) => StoreResponse::Absent,
+            Err(_) => StoreResponse::Lost,
         }
     }
 
--- a/grebedeck/src/entry/service.rs
+++ b/grebedeck/src/entry/service.rs
@@ -148,7 +148,7 @@
             return Err(Outcome::NotRun(Reason::NoConfiguration));
         }
 
-        if !routes.knows(&request.organisation) {
+        if !routes.has_organisation(&request.organisation) {
             let organisation = request.organisation.clone();
             return Err(Outcome::Refused(Reason::UnknownOrganisation(organisation)));
         }
