--- a/grebedeck-http/src/body.rs
+++ b/grebedeck-http/src/body.rs
@@ -151,7 +151,7 @@
     }
 
     /// Gets the length of what is still to come, in bytes, where it is known.
-    pub fn left_bytes(&self) -> Option<usize> {
+    pub fn remaining_bytes(&self) -> Option<usize> {
         match self.state {
             State::Length(left) => Some(usize::try_from(left).unwrap_or(usize::MAX)),
             State::Ended => Some(0),
@@ -160,7 +160,7 @@
     }
 
     /// Tells whether the body is whole.
-    pub fn is_ended(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.state == State::Ended
     }
 
--- a/grebedeck-http/src/client.rs
+++ b/grebedeck-http/src/client.rs
@@ -20,7 +20,7 @@
 
 /// An answer, whole.
 #[derive(Clone, Debug)]
-pub struct Answer {
+pub struct Response {
     /// Its head.
     pub head: ResponseHead,
     /// Its body.
@@ -48,7 +48,7 @@
 
     /// Asks for a path; the answer's head has to come within `limit`. A kept connection that turns out to be closed
     /// is replaced once, which a request that changes nothing allows.
-    pub async fn get(&self, path: &str, limit: Duration) -> Result<Answer> {
+    pub async fn get(&self, path: &str, limit: Duration) -> Result<Response> {
         let head = self.head("GET", path);
 
         match self.send_kept(&head, &[], limit).await {
@@ -67,7 +67,7 @@
         content_type: &str,
         body: &[u8],
         limit: Duration,
-    ) -> Result<Answer> {
+    ) -> Result<Response> {
         let mut head = self.head(method, path);
         head.headers.push("content-type", content_type);
         head.headers.push("content-length", body.len().to_string());
@@ -91,17 +91,17 @@
         head: &RequestHead,
         body: &[u8],
         limit: Duration,
-    ) -> Option<Result<Answer>> {
+    ) -> Option<Result<Response>> {
         loop {
             let mut connection = self.kept.borrow_mut().pop()?;
 
-            if connection.is_quiet() {
+            if connection.is_idle() {
                 return Some(self.send_on(connection, head, body, limit).await);
             }
         }
     }
 
-    async fn send_new(&self, head: &RequestHead, body: &[u8], limit: Duration) -> Result<Answer> {
+    async fn send_new(&self, head: &RequestHead, body: &[u8], limit: Duration) -> Result<Response> {
         let connection = Connection::connect(self.address, self.silence_limit).await?;
 
         self.send_on(connection, head, body, limit).await
@@ -113,7 +113,7 @@
         head: &RequestHead,
         body: &[u8],
         limit: Duration,
-    ) -> Result<Answer> {
+    ) -> Result<Response> {
         let begun = begin(&mut connection, head, body);
         let head_and_decoder = timeout(limit, begun).await.unwrap_or(Err(HttpError::TimedOut))?;
         let answer = self.read_body(&mut connection, head_and_decoder).await?;
@@ -133,14 +133,14 @@
         &self,
         connection: &mut Connection,
         (head, mut decoder): (ResponseHead, BodyDecoder),
-    ) -> Result<Answer> {
+    ) -> Result<Response> {
         let mut body = Vec::new();
 
         loop {
             let next = timeout(self.silence_limit, connection.read_body(&mut decoder)).await;
 
             match next.unwrap_or(Err(HttpError::TimedOut))? {
-                None => return Ok(Answer { head, body }),
+                None => return Ok(Response { head, body }),
                 Some(part) if body.len() + part.len() > MAX_BODY_BYTES => {
                     return Err(HttpError::BodyTooLarge(MAX_BODY_BYTES));
                 }
--- a/grebedeck-http/src/connection.rs
+++ b/grebedeck-http/src/connection.rs
@@ -27,13 +27,13 @@
 const READ_BYTES: usize = 4096;
 
 /// Longest body that is copied behind its head, in bytes: below it, a copy is cheaper than another call.
-pub const JOINED_BYTES: usize = 16 << 10;
+pub const MAX_COALESCED_BODY_BYTES: usize = 16 << 10;
 
 /// How long bytes may stay without an acknowledgement, and a peer that sends nothing without a sign of life. A
 /// connection may go silent for good without a reset, or its peer's machine lose power; without this limit a
 /// request on it waits until its own time is over. Two lost packets in a row take some 0.6 s to be sent again, and
 /// callers leave a stream that is silent for two seconds.
-pub const SILENCE_LIMIT: Duration = Duration::from_secs(1);
+pub const SILENCE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// A connection.
 pub struct Connection {
@@ -62,7 +62,7 @@
         Connection { stream, buffer: BytesMut::new(), closing: Closing::InOrder }
     }
 
-    /// Connects to an address. The connection fails where the peer is silent for [`SILENCE_LIMIT`].
+    /// Connects to an address. The connection fails where the peer is silent for [`SILENCE_TIMEOUT`].
     pub async fn connect(address: SocketAddr, limit: Duration) -> Result<Self> {
         let stream = match timeout(limit, TcpStream::connect(address)).await {
             Ok(stream) => stream?,
@@ -114,7 +114,7 @@
     /// Reads a request's head.
     pub async fn read_request_head(&mut self, max_bytes: usize) -> Result<RequestHead> {
         loop {
-            if let Some(head) = RequestHead::take(&mut self.buffer)? {
+            if let Some(head) = RequestHead::parse(&mut self.buffer)? {
                 return Ok(head);
             }
 
@@ -125,7 +125,7 @@
     /// Reads a response's head.
     pub async fn read_response_head(&mut self, max_bytes: usize) -> Result<ResponseHead> {
         loop {
-            if let Some(head) = ResponseHead::take(&mut self.buffer)? {
+            if let Some(head) = ResponseHead::parse(&mut self.buffer)? {
                 return Ok(head);
             }
 
@@ -194,7 +194,7 @@
 
     /// Writes a head and its body. A short body goes in one packet with the head; a long one is not copied.
     pub async fn write_message(&self, mut head: Vec<u8>, body: &[u8]) -> Result<()> {
-        if body.len() <= JOINED_BYTES {
+        if body.len() <= MAX_COALESCED_BODY_BYTES {
             head.extend_from_slice(body);
             return self.write_all(&head).await;
         }
@@ -204,15 +204,15 @@
     }
 
     /// Limits what the system keeps for this side until it is read, in bytes; the peer is held up beyond it.
-    pub fn limit_unread(&self, bytes: usize) -> Result<()> {
-        limit_unread(&self.stream, bytes)
+    pub fn limit_receive_buffer(&self, bytes: usize) -> Result<()> {
+        limit_receive_buffer(&self.stream, bytes)
     }
 
     /// Completes when the peer has closed the connection.
     ///
     /// Bytes that come meanwhile are kept for the next message. Beyond `max_bytes` of them nothing
     /// more is read, and a close behind them shows only when they have been taken.
-    pub async fn closed(&mut self, max_bytes: usize) {
+    pub async fn wait_closed(&mut self, max_bytes: usize) {
         while self.buffer.len() < max_bytes {
             match self.read_more().await {
                 Ok(0) | Err(_) => return,
@@ -224,7 +224,7 @@
     }
 
     /// Tells whether the connection is open and nothing was sent on it that nobody asked for.
-    pub fn is_quiet(&mut self) -> bool {
+    pub fn is_idle(&mut self) -> bool {
         self.buffer.is_empty() && self.read_more().now_or_never().is_none()
     }
 
@@ -244,14 +244,14 @@
 }
 
 /// Limits what the system keeps of a connection until this side reads it, in bytes.
-fn limit_unread(stream: impl AsFd, bytes: usize) -> Result<()> {
+fn limit_receive_buffer(stream: impl AsFd, bytes: usize) -> Result<()> {
     Ok(sockopt::set_socket_recv_buffer_size(stream, bytes).map_err(std::io::Error::from)?)
 }
 
 /// Limits what the system keeps of each connection that is accepted, until this side or the peer reads it, in
 /// bytes.
-pub fn limit_accepted(listener: &TcpListener, bytes: usize) -> Result<()> {
-    limit_unread(listener, bytes)?;
+pub fn limit_accepted_buffers(listener: &TcpListener, bytes: usize) -> Result<()> {
+    limit_receive_buffer(listener, bytes)?;
 
     Ok(sockopt::set_socket_send_buffer_size(listener, bytes).map_err(std::io::Error::from)?)
 }
@@ -264,8 +264,8 @@
 /// Has the system probe a peer that sends nothing, and give a connection up whose bytes are not acknowledged.
 fn limit_silence(stream: &TcpStream) -> rustix::io::Result<()> {
     sockopt::set_socket_keepalive(stream, true)?;
-    sockopt::set_tcp_keepidle(stream, SILENCE_LIMIT)?;
-    sockopt::set_tcp_keepintvl(stream, SILENCE_LIMIT)?;
+    sockopt::set_tcp_keepidle(stream, SILENCE_TIMEOUT)?;
+    sockopt::set_tcp_keepintvl(stream, SILENCE_TIMEOUT)?;
 
-    sockopt::set_tcp_user_timeout(stream, SILENCE_LIMIT.as_millis() as u32)
+    sockopt::set_tcp_user_timeout(stream, SILENCE_TIMEOUT.as_millis() as u32)
 }
--- a/grebedeck-http/src/error.rs
+++ b/grebedeck-http/src/error.rs
@@ -30,7 +30,7 @@
 
 impl HttpError {
     /// Tells whether nobody listens at the address.
-    pub fn is_refused(&self) -> bool {
+    pub fn is_connection_refused(&self) -> bool {
         matches!(self, HttpError::Io(error) if error.kind() == std::io::ErrorKind::ConnectionRefused)
     }
 }
--- a/grebedeck-http/src/head.rs
+++ b/grebedeck-http/src/head.rs
@@ -79,7 +79,7 @@
     }
 
     /// Tells whether the message's `connection` header holds a word.
-    pub fn connection_has(&self, word: &str) -> bool {
+    pub fn has_connection_option(&self, word: &str) -> bool {
         let is_word = |part: &str| part.trim().eq_ignore_ascii_case(word);
         let texts = self.all("connection").filter_map(|value| std::str::from_utf8(value).ok());
 
@@ -130,7 +130,7 @@
 
 impl RequestHead {
     /// Takes a head from the front of a buffer, or gives `None` while it is not whole.
-    pub fn take(buffer: &mut BytesMut) -> Result<Option<Self>> {
+    pub fn parse(buffer: &mut BytesMut) -> Result<Option<Self>> {
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut parsed = httparse::Request::new(&mut headers);
 
@@ -167,7 +167,7 @@
 
     /// Tells whether the connection may carry another request after this one.
     pub fn keeps_alive(&self) -> bool {
-        self.minor_version >= 1 && !self.headers.connection_has("close")
+        self.minor_version >= 1 && !self.headers.has_connection_option("close")
     }
 }
 
@@ -178,7 +178,7 @@
     }
 
     /// Takes a head from the front of a buffer, or gives `None` while it is not whole.
-    pub fn take(buffer: &mut BytesMut) -> Result<Option<Self>> {
+    pub fn parse(buffer: &mut BytesMut) -> Result<Option<Self>> {
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut parsed = httparse::Response::new(&mut headers);
 
@@ -207,7 +207,7 @@
 
     /// Tells whether the connection may carry another request after this response.
     pub fn keeps_alive(&self) -> bool {
-        self.minor_version >= 1 && !self.headers.connection_has("close")
+        self.minor_version >= 1 && !self.headers.has_connection_option("close")
     }
 
     /// Tells whether the status is a success.
--- a/grebedeck-http/src/lib.rs
+++ b/grebedeck-http/src/lib.rs
@@ -14,7 +14,7 @@
 pub mod head;
 
 pub use body::{BodyDecoder, Decoded, Framing, request_framing, response_framing, write_chunk};
-pub use client::{Answer, Client};
+pub use client::{Client, Response};
 pub use connection::Connection;
 pub use error::{HttpError, Result};
 pub use head::{Headers, RequestHead, ResponseHead, is_hop_by_hop};
--- a/grebedeck-http/tests/connection.rs
+++ b/grebedeck-http/tests/connection.rs
@@ -5,7 +5,7 @@
 use async_std::net::{TcpListener, TcpStream};
 use futures::{AsyncWriteExt, FutureExt};
 use grebedeck_http::Connection;
-use grebedeck_http::connection::SILENCE_LIMIT;
+use grebedeck_http::connection::SILENCE_TIMEOUT;
 use rustix::net::sockopt;
 
 async fn pair() -> (Connection, TcpStream) {
@@ -21,7 +21,7 @@
     async_std::task::block_on(async {
         let (mut connection, mut peer) = pair().await;
         assert!(connection.read_more().now_or_never().is_none(), "nothing was sent");
-        assert!(connection.is_quiet(), "nothing was sent");
+        assert!(connection.is_idle(), "nothing was sent");
 
         peer.write_all(b"HTTP/1.1 204 No Content\r\n\r\n").await.expect("written");
         let head = connection.read_response_head(1024).await.expect("a head");
@@ -35,7 +35,7 @@
         let (mut connection, mut peer) = pair().await;
         peer.write_all(b"HTTP/1.1 200 OK\r\n").await.expect("written");
 
-        while connection.is_quiet() {
+        while connection.is_idle() {
             async_std::task::yield_now().await;
         }
     });
@@ -48,7 +48,7 @@
         peer.write_all(b"GET / HTTP/1.1\r\n").await.expect("written");
         drop(peer);
 
-        connection.closed(1024).await;
+        connection.wait_closed(1024).await;
         assert_eq!(connection.buffer().as_ref(), b"GET / HTTP/1.1\r\n");
     });
 }
@@ -63,8 +63,8 @@
         let stream = connection.expect("a connection").writer();
 
         let unacknowledged_ms = sockopt::tcp_user_timeout(&stream).expect("the limit");
-        assert_eq!(Duration::from_millis(unacknowledged_ms.into()), SILENCE_LIMIT);
+        assert_eq!(Duration::from_millis(unacknowledged_ms.into()), SILENCE_TIMEOUT);
         assert_eq!(sockopt::socket_keepalive(&stream), Ok(true));
-        assert_eq!(sockopt::tcp_keepidle(&stream), Ok(SILENCE_LIMIT));
+        assert_eq!(sockopt::tcp_keepidle(&stream), Ok(SILENCE_TIMEOUT));
     });
 }
--- a/grebedeck-http/tests/messages.rs
+++ b/grebedeck-http/tests/messages.rs
@@ -8,11 +8,11 @@
 use proptest::prelude::*;
 
 fn request(text: &str) -> RequestHead {
-    RequestHead::take(&mut BytesMut::from(text)).expect("well formed").expect("whole")
+    RequestHead::parse(&mut BytesMut::from(text)).expect("well formed").expect("whole")
 }
 
 fn response(text: &str) -> ResponseHead {
-    ResponseHead::take(&mut BytesMut::from(text)).expect("well formed").expect("whole")
+    ResponseHead::parse(&mut BytesMut::from(text)).expect("well formed").expect("whole")
 }
 
 #[test]
@@ -29,7 +29,7 @@
         assert!(request_framing(&head).is_err(), "{headers}");
     }
 
-    assert!(RequestHead::take(&mut BytesMut::from("GET / HTTP/1.1\r\n a: b\r\n\r\n")).is_err());
+    assert!(RequestHead::parse(&mut BytesMut::from("GET / HTTP/1.1\r\n a: b\r\n\r\n")).is_err());
 }
 
 #[test]
--- a/grebedeck-lab/src/caller.rs
+++ b/grebedeck-lab/src/caller.rs
@@ -5,7 +5,7 @@
 
 use grebedeck_core::Result;
 use grebedeck_net::http::HttpClient;
-use grebedeck_net::http::client::{Answer, SendError};
+use grebedeck_net::http::client::{SendError, StreamedResponse};
 use http_types::{Method, Request, Url};
 
 /// A caller with its own kept connection.
@@ -58,7 +58,7 @@
     }
 
     /// Sends a request and waits for the head of its answer.
-    pub async fn begin(&self, request: Request) -> Result<Answer> {
+    pub async fn begin(&self, request: Request) -> Result<StreamedResponse> {
         self.client.send(request).await.map_err(SendError::into_error)
     }
 
--- a/grebedeck-lab/tests/stall.rs
+++ b/grebedeck-lab/tests/stall.rs
@@ -11,7 +11,7 @@
 use grebedeck_lab::http::any_port;
 use grebedeck_lab::site::{Site, SiteOptions};
 use grebedeck_net::platform::Role;
-use grebedeck_net::{Incoming, StreamHandler, listen};
+use grebedeck_net::{IncomingStream, StreamHandler, listen};
 use http_types::Method;
 
 /// Answers control messages until the first work arrives, and nothing after that.
@@ -21,7 +21,7 @@
 }
 
 impl StreamHandler for Freezing {
-    async fn handle(&self, incoming: Incoming) {
+    async fn handle(&self, incoming: IncomingStream) {
         if incoming.path != CONTROL_PATH {
             self.frozen.store(true, Ordering::SeqCst);
         }
@@ -41,7 +41,7 @@
         writer.send_last(&ControlAnswer::Hello(hello)).await.unwrap();
     }
 
-    fn broken_connection(&self) {}
+    fn on_protocol_error(&self) {}
 }
 
 /// A site whose one target for the service `frozen` freezes, beside one that works if `spare`.
--- a/grebedeck-net/src/frame.rs
+++ b/grebedeck-net/src/frame.rs
@@ -110,7 +110,7 @@
     }
 
     /// Reads the next message; the end of the stream is an error.
-    pub async fn expect<T: DeserializeOwned>(&mut self) -> Result<T> {
+    pub async fn next_required<T: DeserializeOwned>(&mut self) -> Result<T> {
         match self.next().await? {
             Some(message) => Ok(message),
             None => protocol_error("the stream ended before its last message"),
--- a/grebedeck-net/src/http/client.rs
+++ b/grebedeck-net/src/http/client.rs
@@ -23,8 +23,8 @@
 }
 
 /// An answer whose body is still to be read.
-pub struct Answer {
-    /// The answer's head; its body is read through [`Answer::read`].
+pub struct StreamedResponse {
+    /// The answer's head; its body is read through [`StreamedResponse::read`].
     pub response: Response,
     connection: TcpStream,
     client: HttpClient,
@@ -51,7 +51,7 @@
     }
 
     /// Sends a request and waits for the head of the answer.
-    pub async fn send(&self, request: Request) -> std::result::Result<Answer, SendError> {
+    pub async fn send(&self, request: Request) -> std::result::Result<StreamedResponse, SendError> {
         let connection = match self.kept_connection() {
             Some(connection) => connection,
             None => self.connect().await.map_err(SendError::NotSent)?,
@@ -62,7 +62,7 @@
             .map_err(|e| SendError::MaybeSent(Error::Protocol(e.to_string())))?;
         remove_made_up_date(&mut response);
 
-        Ok(Answer { response, connection, client: self.clone() })
+        Ok(StreamedResponse { response, connection, client: self.clone() })
     }
 
     /// Sends a request and reads the whole answer, at most `max_bytes` of body, within `limit`.
@@ -133,7 +133,7 @@
     }
 }
 
-impl Answer {
+impl StreamedResponse {
     /// Reads the next part of the body; 0 is its end.
     pub async fn read(&mut self, buffer: &mut [u8]) -> Result<usize> {
         Ok(self.response.read(buffer).await?)
--- a/grebedeck-net/src/lib.rs
+++ b/grebedeck-net/src/lib.rs
@@ -17,5 +17,5 @@
 pub use codec::{decode, encode};
 pub use frame::{FrameReader, FrameWriter};
 pub use link::{Link, Stream};
-pub use listen::{Incoming, StreamHandler, listen};
+pub use listen::{IncomingStream, StreamHandler, listen};
 pub use pool::LinkPool;
--- a/grebedeck-net/src/link.rs
+++ b/grebedeck-net/src/link.rs
@@ -14,7 +14,7 @@
 use tokio_util::compat::FuturesAsyncReadCompatExt;
 
 use crate::frame::{FrameReader, FrameWriter, h2_error};
-use crate::wire::Counted;
+use crate::wire::CountingStream;
 
 /// Window of one stream, in bytes: how much may be under way before the receiver reads it.
 pub const STREAM_WINDOW_BYTES: u32 = 256 << 10;
@@ -74,7 +74,7 @@
         let (sender, connection) = h2::client::Builder::new()
             .initial_window_size(STREAM_WINDOW_BYTES)
             .initial_connection_window_size(CONNECTION_WINDOW_BYTES)
-            .handshake(Counted::new(tcp).compat())
+            .handshake(CountingStream::new(tcp).compat())
             .await
             .map_err(h2_error)?;
 
--- a/grebedeck-net/src/listen.rs
+++ b/grebedeck-net/src/listen.rs
@@ -12,7 +12,7 @@
 
 use crate::frame::{FrameReader, FrameWriter, h2_error};
 use crate::link::{CONNECTION_WINDOW_BYTES, STREAM_WINDOW_BYTES};
-use crate::wire::Counted;
+use crate::wire::CountingStream;
 
 /// Most streams at once on one connection.
 pub const MAX_STREAMS: u32 = 4096;
@@ -22,7 +22,7 @@
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
 /// A stream that a peer has opened.
-pub struct Incoming {
+pub struct IncomingStream {
     /// What the stream is for.
     pub path: String,
     /// The receiving direction.
@@ -30,7 +30,7 @@
     respond: SendResponse<Bytes>,
 }
 
-impl Incoming {
+impl IncomingStream {
     /// Takes the stream and gives both directions.
     pub fn accept(mut self) -> Result<(FrameReader, FrameWriter)> {
         let response = ::http::Response::new(());
@@ -52,10 +52,10 @@
 /// Handles the streams of a listener.
 pub trait StreamHandler: Send + Sync + 'static {
     /// Handles one stream to its end.
-    fn handle(&self, incoming: Incoming) -> impl Future<Output = ()> + Send;
+    fn handle(&self, incoming: IncomingStream) -> impl Future<Output = ()> + Send;
 
     /// Notes that a connection failed to speak the protocol.
-    fn broken_connection(&self);
+    fn on_protocol_error(&self);
 }
 
 /// Takes connections until the task is dropped.
@@ -79,10 +79,10 @@
         .initial_connection_window_size(CONNECTION_WINDOW_BYTES)
         .max_concurrent_streams(MAX_STREAMS);
 
-    let handshake = builder.handshake::<_, Bytes>(Counted::new(tcp).compat());
+    let handshake = builder.handshake::<_, Bytes>(CountingStream::new(tcp).compat());
     let Ok(Ok(mut connection)) = async_std::future::timeout(HANDSHAKE_LIMIT, handshake).await
     else {
-        handler.broken_connection();
+        handler.on_protocol_error();
         return;
     };
 
@@ -90,7 +90,7 @@
         let Ok((request, respond)) = stream else {
             // A peer that just went away is no fault of the protocol.
             if stream.is_err_and(|e| !e.is_io()) {
-                handler.broken_connection();
+                handler.on_protocol_error();
             }
 
             return;
@@ -98,7 +98,7 @@
 
         let (head, body) = request.into_parts();
         let reader = FrameReader::new(body);
-        let incoming = Incoming { path: head.uri.path().to_string(), reader, respond };
+        let incoming = IncomingStream { path: head.uri.path().to_string(), reader, respond };
         let handler = handler.clone();
 
         async_std::task::spawn(async move { handler.handle(incoming).await });
--- a/grebedeck-net/src/wire.rs
+++ b/grebedeck-net/src/wire.rs
@@ -22,18 +22,18 @@
 }
 
 /// A connection to a peer whose bytes are counted.
-pub struct Counted {
+pub struct CountingStream {
     tcp: TcpStream,
 }
 
-impl Counted {
+impl CountingStream {
     /// Counts the bytes of a connection from now on.
     pub fn new(tcp: TcpStream) -> Self {
-        Counted { tcp }
+        CountingStream { tcp }
     }
 }
 
-impl AsyncRead for Counted {
+impl AsyncRead for CountingStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -49,7 +49,7 @@
     }
 }
 
-impl AsyncWrite for Counted {
+impl AsyncWrite for CountingStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
--- a/grebedeck/src/agent/work.rs
+++ b/grebedeck/src/agent/work.rs
@@ -7,7 +7,7 @@
 use grebedeck_core::error::{limit_error, protocol_error};
 use grebedeck_core::{Moment, Reason, Result};
 use grebedeck_net::codec::encode_into;
-use grebedeck_net::http::client::{Answer, SendError};
+use grebedeck_net::http::client::{SendError, StreamedResponse};
 use grebedeck_net::http::end_to_end_headers;
 use grebedeck_net::{FrameReader, FrameWriter};
 use grebedeck_routing::{StartRequest, Verdict};
@@ -26,7 +26,7 @@
 /// An answer whose head is here.
 struct Begun<'a> {
     head: AnswerHead,
-    answer: Answer,
+    answer: StreamedResponse,
     running: Running<'a>,
     sent_at: Moment,
 }
@@ -191,7 +191,7 @@
 }
 
 async fn read_request(reader: &mut FrameReader, max_body_bytes: usize) -> Result<WholeRequest> {
-    let start = match reader.expect().await? {
+    let start = match reader.next_required().await? {
         ToAgent::Start(start) => *start,
         _ => return protocol_error("a work stream begins with its start"),
     };
@@ -200,7 +200,7 @@
     let mut body = Vec::new();
 
     loop {
-        match reader.expect().await? {
+        match reader.next_required().await? {
             ToAgent::Body(part) => {
                 if body.len() + part.len() > max_body_bytes {
                     return limit_error(format!("a request body over {max_body_bytes} bytes"));
--- a/grebedeck/src/directory.rs
+++ b/grebedeck/src/directory.rs
@@ -144,7 +144,7 @@
         stream.writer.send_last(message).await?;
         let mut reader = stream.reader().await?;
 
-        reader.expect().await
+        reader.next_required().await
     };
 
     match timeout(CONTROL_LIMIT, exchange).await {
--- a/grebedeck/src/entry/answer.rs
+++ b/grebedeck/src/entry/answer.rs
@@ -117,7 +117,7 @@
 
     /// Reads the next frame, as long as the agent shows that it is there.
     async fn next_frame(&mut self) -> Result<FromAgent> {
-        let reading = self.reader.expect();
+        let reading = self.reader.next_required();
         let silent = self.in_flight.entry().directory.silent(self.agent_address);
         futures::pin_mut!(reading, silent);
 
--- a/grebedeck/src/entry/attempt.rs
+++ b/grebedeck/src/entry/attempt.rs
@@ -194,7 +194,7 @@
         stream.writer.send_encoded_last(frames.freeze()).await?;
 
         let mut reader = stream.reader().await?;
-        let first = reader.expect().await?;
+        let first = reader.next_required().await?;
 
         Ok((first, reader))
     }
--- a/grebedeck/src/gateway.rs
+++ b/grebedeck/src/gateway.rs
@@ -51,7 +51,7 @@
 use async_std::net::{TcpListener, UdpSocket};
 use grebedeck_gateway::{HeaderNames, SiteStore};
 use grebedeck_http::RequestHead;
-use grebedeck_http::connection::limit_accepted;
+use grebedeck_http::connection::limit_accepted_buffers;
 use grebedeck_kernel::log;
 
 use crate::pages::{self, ACCEPT_PAUSE, Page};
@@ -86,7 +86,7 @@
     store: S,
 ) -> anyhow::Result<Rc<Gateway>> {
     let caller_listener = process::bind(&mut settings.caller_address).await?;
-    limit_accepted(&caller_listener, options::UNREAD_BYTES)?;
+    limit_accepted_buffers(&caller_listener, options::UNREAD_BYTES)?;
     let ready_listener = process::bind(&mut settings.ready_address).await?;
     let peer_listener = process::bind(&mut settings.peer_address).await?;
     let metrics_listener = process::bind(&mut settings.metrics_address).await?;
--- a/grebedeck/src/gateway/attempt.rs
+++ b/grebedeck/src/gateway/attempt.rs
@@ -121,7 +121,7 @@
         Err(error) => {
             in_flight.judge(false);
 
-            if error.is_refused() && !gateway.is_earlier_start(target) {
+            if error.is_connection_refused() && !gateway.is_earlier_start(target) {
                 gateway.suspect_start(target);
             }
 
@@ -172,7 +172,7 @@
         Some(connection) => connection,
         None => {
             let new = Connection::connect(target.address, CONNECT_LIMIT.min(left)).await?;
-            new.limit_unread(UNREAD_BYTES)?;
+            new.limit_receive_buffer(UNREAD_BYTES)?;
             new
         }
     };
@@ -258,7 +258,7 @@
 fn end_refused(connection: &mut Connection, decoder: &mut BodyDecoder) {
     while let Ok(Decoded::Data(_)) = decoder.decode(connection.buffer()) {}
 
-    if decoder.is_ended() {
+    if decoder.is_complete() {
         connection.end_exchange();
     }
 }
--- a/grebedeck/src/gateway/caller.rs
+++ b/grebedeck/src/gateway/caller.rs
@@ -160,7 +160,7 @@
         futures::select! {
             answer = answering.fuse() => Some(answer),
             // Dropping the attempt resets the connection to the target, which drops the request.
-            () = connection.closed(READ_AHEAD_BYTES).fuse() => None,
+            () = connection.wait_closed(READ_AHEAD_BYTES).fuse() => None,
         }
     };
 
--- a/grebedeck/src/gateway/opened.rs
+++ b/grebedeck/src/gateway/opened.rs
@@ -57,7 +57,7 @@
     pub async fn read_whole(mut self) -> Result<(ResponseHead, Buffer), FailureCause> {
         let mut body = Buffer::new(&self.gateway.answers);
         // A known length is reserved at once, so that no two answers wait for each other's memory.
-        let len_bytes = self.decoder.left_bytes().unwrap_or(0).min(MAX_WHOLE_BYTES);
+        let len_bytes = self.decoder.remaining_bytes().unwrap_or(0).min(MAX_WHOLE_BYTES);
 
         if !body.reserve(len_bytes, MEMORY_WAIT).await {
             return Err(FailureCause::NoMemory);
@@ -86,7 +86,7 @@
         self.connection.end_exchange();
 
         // An answer that ends with its connection ends alike where its target crashes.
-        if !self.decoder.is_ended() {
+        if !self.decoder.is_complete() {
             return;
         }
 
--- a/grebedeck/src/gateway/pool.rs
+++ b/grebedeck/src/gateway/pool.rs
@@ -40,7 +40,7 @@
         let kept = all.get_mut(&(target.address, target.born_ms))?;
 
         while let Some(mut last) = kept.pop() {
-            if last.until > now && last.connection.is_quiet() {
+            if last.until > now && last.connection.is_idle() {
                 return Some(last.connection);
             }
         }
--- a/grebedeck/src/gateway/request.rs
+++ b/grebedeck/src/gateway/request.rs
@@ -5,7 +5,7 @@
 
 use grebedeck_core::Moment;
 use grebedeck_gateway::{Admitted, HeaderNames, TargetEntry};
-use grebedeck_http::connection::JOINED_BYTES;
+use grebedeck_http::connection::MAX_COALESCED_BODY_BYTES;
 use grebedeck_http::{Headers, RequestHead};
 use grebedeck_routing::{Fingerprint, Identity};
 
@@ -159,7 +159,8 @@
             minor_version: 1,
             headers,
         };
-        let mut bytes = Vec::with_capacity(512 + self.request.body.len().min(JOINED_BYTES));
+        let mut bytes =
+            Vec::with_capacity(512 + self.request.body.len().min(MAX_COALESCED_BODY_BYTES));
         head.write(&mut bytes);
         bytes
     }
--- a/grebedeck/src/gateway/stream.rs
+++ b/grebedeck/src/gateway/stream.rs
@@ -104,7 +104,7 @@
                 let finding = place::find(self.gateway, self.request, self.tried.targets());
                 futures::select! {
                     found = finding.fuse() => Some(found),
-                    () = self.connection.closed(READ_AHEAD_BYTES).fuse() => None,
+                    () = self.connection.wait_closed(READ_AHEAD_BYTES).fuse() => None,
                 }
             };
             let place = match found {
@@ -120,7 +120,7 @@
                 let opening = attempt::open(self.gateway, self.request, place);
                 futures::select! {
                     opened = opening.fuse() => Some(opened),
-                    () = self.connection.closed(READ_AHEAD_BYTES).fuse() => None,
+                    () = self.connection.wait_closed(READ_AHEAD_BYTES).fuse() => None,
                 }
             };
 
@@ -162,7 +162,7 @@
                 let reading = timeout(left, opened.next_part());
                 futures::select! {
                     next = reading.fuse() => next,
-                    () = self.connection.closed(READ_AHEAD_BYTES).fuse() => return Part::CallerGone,
+                    () = self.connection.wait_closed(READ_AHEAD_BYTES).fuse() => return Part::CallerGone,
                 }
             };
 
--- a/grebedeck/src/gateway/suspects.rs
+++ b/grebedeck/src/gateway/suspects.rs
@@ -308,7 +308,7 @@
         let target = others.swap_remove(ProcessRandom::default().below(others.len()));
         let connected = Connection::connect(target.address, CONNECT_LIMIT).await;
 
-        if connected.is_err_and(|error| error.is_refused()) {
+        if connected.is_err_and(|error| error.is_connection_refused()) {
             let start = TargetStart::listed(&target.id, target.born_ms);
             gateway.quarantine.borrow_mut().record_crash(&start, [], gateway.now());
             gateway.tell_news();
--- a/grebedeck/src/gateway/whole.rs
+++ b/grebedeck/src/gateway/whole.rs
@@ -6,7 +6,7 @@
 use async_std::future::timeout;
 use grebedeck_gateway::answer::give_up_status;
 use grebedeck_gateway::{Denied, HeaderNames, RunState, Verdict};
-use grebedeck_http::connection::JOINED_BYTES;
+use grebedeck_http::connection::MAX_COALESCED_BODY_BYTES;
 use grebedeck_http::{Headers, ResponseHead};
 
 use super::attempt;
@@ -100,11 +100,11 @@
         }
 
         let head = ResponseHead { headers, ..self.head };
-        let mut bytes = Vec::with_capacity(512 + len_bytes.min(JOINED_BYTES));
+        let mut bytes = Vec::with_capacity(512 + len_bytes.min(MAX_COALESCED_BODY_BYTES));
         head.write(&mut bytes);
 
         match self.body {
-            Some(mut body) if len_bytes <= JOINED_BYTES => {
+            Some(mut body) if len_bytes <= MAX_COALESCED_BODY_BYTES => {
                 bytes.extend_from_slice(&body);
                 body.move_out();
                 (bytes, Some(body))
--- a/grebedeck/src/liveness.rs
+++ b/grebedeck/src/liveness.rs
@@ -20,11 +20,11 @@
     for _ in 0..MAX_LOOKS {
         let mut connection = match Connection::connect(address, connect_limit).await {
             Ok(connection) => connection,
-            Err(error) if error.is_refused() => return (ProbeResult::Crashed, None),
+            Err(error) if error.is_connection_refused() => return (ProbeResult::Crashed, None),
             Err(_) => return (ProbeResult::Unknown, None),
         };
 
-        if timeout(stays_open, connection.closed(1)).await.is_err() {
+        if timeout(stays_open, connection.wait_closed(1)).await.is_err() {
             return (ProbeResult::Alive, Some(connection));
         }
     }
--- a/grebedeck/src/peer.rs
+++ b/grebedeck/src/peer.rs
@@ -6,7 +6,7 @@
 use async_std::future::timeout;
 use grebedeck_core::Result;
 use grebedeck_kernel::Counter;
-use grebedeck_net::{FrameReader, FrameWriter, Incoming, StreamHandler};
+use grebedeck_net::{FrameReader, FrameWriter, IncomingStream, StreamHandler};
 
 use crate::agent::AgentService;
 use crate::agent::group::GroupService;
@@ -36,7 +36,7 @@
 }
 
 impl StreamHandler for PeerHandler {
-    async fn handle(&self, incoming: Incoming) {
+    async fn handle(&self, incoming: IncomingStream) {
         let handled = match (incoming.path.as_str(), &self.agent) {
             (WORK_PATH, Some(agent)) => match incoming.accept() {
                 Ok((reader, writer)) => agent.work(reader, writer).await,
@@ -54,14 +54,14 @@
         }
     }
 
-    fn broken_connection(&self) {
+    fn on_protocol_error(&self) {
         self.faults.add("connection");
     }
 }
 
 impl PeerHandler {
     async fn control(&self, mut reader: FrameReader, mut writer: FrameWriter) -> Result<()> {
-        let Ok(message) = timeout(CONTROL_LIMIT, reader.expect::<Control>()).await else {
+        let Ok(message) = timeout(CONTROL_LIMIT, reader.next_required::<Control>()).await else {
             return Ok(());
         };
 
