--- a/grebedeck-config/src/accept.rs
+++ b/grebedeck-config/src/accept.rs
@@ -1,54 +1,54 @@
-//! How one change is written to the table service, as a pure state machine.
+//! Writing one change to the table service, as a state machine without I/O.
 //!
-//! One conditional transaction moves the head from one revision to the next, stores the log entry
-//! and stores the change's id. Where the answer is lost, the id is read back: it is in the table
-//! exactly if the change was accepted. A change that lost a race is checked again on top of the
-//! newer revision, unless it names the revision that it was written against.
+//! One conditional transaction advances the head to the next revision, stores the log entry and
+//! stores the change's id. If the response is lost, the id is read back: the table holds it if and
+//! only if the change was accepted. A change that lost a race against another one is validated
+//! again on the newer revision, unless it names the revision on which it is based.
 
 use grebedeck_core::{Faults, Revision, UnixMs};
 
 use crate::change::{Change, LogEntry};
 use crate::document::Document;
 
-/// How often a change is tried on top of newer revisions before it is refused.
+/// Retries of a change on newer revisions before it is refused.
 pub const MAX_RETRIES: u32 = 8;
-/// How often a lost answer is read back before the outcome is left unknown.
+/// Retries of a read of the change's id before the outcome is reported as unknown.
 pub const MAX_READ_BACK_RETRIES: u32 = 6;
 
-/// What the driver has to do next.
+/// The next action of the caller, which does the I/O.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AcceptAction {
-    /// Bring the replica to the newest revision of the store, then call [`Acceptor::on_caught_up`].
+    /// Update the replica to the store's newest revision, then call [`Acceptor::on_caught_up`].
     CatchUp,
-    /// Write the entry if the store's head is at the revision before it and its id is unused.
+    /// Write the entry if the store's head is at the previous revision and the id is unused.
     Write(Box<LogEntry>),
-    /// Read which revision the change's id is stored under, after a wait.
+    /// Wait, then read the revision that is stored under the change's id.
     ReadBack,
-    /// Nothing more to do.
+    /// Report the result; no action is left.
     Finish(AcceptResult),
 }
 
-/// How an operator's change ended.
+/// Result of an operator's change.
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
 pub enum AcceptResult {
-    /// It is in force from the revision on, for good.
+    /// The change is part of the configuration from this revision on, permanently.
     Accepted(Revision),
-    /// It is refused whole and will never be in force.
+    /// The change is refused as a whole and never takes effect.
     Refused(Faults),
-    /// The store does not say; the same id may be sent again to find out.
+    /// The store did not respond; submitting the same id again reveals the outcome.
     Unknown,
 }
 
-/// What the store said.
+/// Response of the store to a write or a read of the change's id.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StoreResponse {
     /// The transaction took effect.
     Written,
-    /// The head had moved or the id was used; nothing was written.
+    /// The head had advanced or the id was in use; nothing was written.
     Conflict,
-    /// No answer; the transaction may have taken effect.
+    /// No response; a write may have taken effect.
     Lost,
-    /// The id is stored under the revision.
+    /// The id is stored with this revision.
     Found(Revision),
     /// The id is not stored.
     Absent,
@@ -56,52 +56,52 @@
 
 #[derive(Clone, Debug, PartialEq)]
 enum Phase {
-    Catching,
+    CatchingUp,
     Writing(Revision),
     ReadingBack {
         revision: Revision,
-        tries: u32,
+        attempts: u32,
     },
-    /// A conflict was seen; it may be our own earlier write whose answer was lost.
+    /// The conflict may stem from this change's own earlier write, whose response was lost.
     CheckingConflict {
-        tries: u32,
+        attempts: u32,
     },
 }
 
-/// Takes one change from an operator to its end.
+/// Drives one change from submission to its result.
 #[derive(Clone, Debug)]
 pub struct Acceptor {
     change: Change,
     phase: Phase,
     retries: u32,
-    /// The newest revision that a write without an answer was to make.
+    /// Highest revision of a write without a response; 0 if there is none.
     lost_write: Revision,
 }
 
 impl Acceptor {
-    /// Starts with a change; the first order is to catch up with the store.
+    /// Starts with a change; the first action is to catch up with the store.
     pub fn new(change: Change) -> (Self, AcceptAction) {
         (
-            Acceptor { change, phase: Phase::Catching, retries: 0, lost_write: 0 },
+            Acceptor { change, phase: Phase::CatchingUp, retries: 0, lost_write: 0 },
             AcceptAction::CatchUp,
         )
     }
 
-    /// Goes on with the store's newest document; `known` is where the id is already stored.
+    /// Continues on the store's newest document; `stored` is the revision stored under the id.
     pub fn on_caught_up(
         &mut self,
         revision: Revision,
         document: &Document,
-        known: Option<Revision>,
+        stored: Option<Revision>,
         now_unix_ms: UnixMs,
     ) -> AcceptAction {
-        assert_eq!(self.phase, Phase::Catching, "the head is read only while catching up");
+        assert_eq!(self.phase, Phase::CatchingUp, "the head is read only while catching up");
 
-        if let Some(accepted) = known {
+        if let Some(accepted) = stored {
             return AcceptAction::Finish(AcceptResult::Accepted(accepted));
         }
 
-        match self.check_at(revision, document) {
+        match self.validate_at(revision, document) {
             Ok(next) => {
                 self.phase = Phase::Writing(revision + 1);
                 AcceptAction::Write(Box::new(LogEntry {
@@ -111,13 +111,13 @@
                     change: self.change.clone(),
                 }))
             }
-            // A write that was lost on its way can still take effect while the head is below it.
+            // A write without a response may still arrive while the head is below its revision.
             Err(_) if self.lost_write > revision => AcceptAction::Finish(AcceptResult::Unknown),
             Err(faults) => AcceptAction::Finish(AcceptResult::Refused(faults)),
         }
     }
 
-    fn check_at(&self, revision: Revision, document: &Document) -> Result<Document, Faults> {
+    fn validate_at(&self, revision: Revision, document: &Document) -> Result<Document, Faults> {
         if let Some(base) = self.change.base_revision.filter(|b| *b != revision) {
             let mut faults = Faults::default();
             let expected = format!("the newest revision, which is {revision}");
@@ -136,39 +136,39 @@
         self.change.check(document)
     }
 
-    /// Goes on with what the store said to the last order.
+    /// Continues after the store's response to the last action.
     pub fn on_response(&mut self, answer: StoreResponse) -> AcceptAction {
         match (self.phase.clone(), answer) {
             (Phase::Writing(revision), StoreResponse::Written) => {
                 AcceptAction::Finish(AcceptResult::Accepted(revision))
             }
             (Phase::Writing(_), StoreResponse::Conflict) => {
-                self.phase = Phase::CheckingConflict { tries: 0 };
+                self.phase = Phase::CheckingConflict { attempts: 0 };
                 AcceptAction::ReadBack
             }
             (Phase::Writing(revision), _) => {
                 self.lost_write = revision;
-                self.phase = Phase::ReadingBack { revision, tries: 0 };
+                self.phase = Phase::ReadingBack { revision, attempts: 0 };
                 AcceptAction::ReadBack
             }
             (_, StoreResponse::Found(revision)) => {
                 AcceptAction::Finish(AcceptResult::Accepted(revision))
             }
-            (Phase::CheckingConflict { .. }, StoreResponse::Absent) => self.race_again(),
-            // A lost write may still be on its way, so an absent id proves nothing by itself. The
-            // same write is tried again instead: only one of the two can pass the condition.
-            (Phase::ReadingBack { .. }, StoreResponse::Absent) => self.race_again(),
-            (Phase::ReadingBack { revision, tries }, _) => {
-                self.read_again(tries, |tries| Phase::ReadingBack { revision, tries })
+            (Phase::CheckingConflict { .. }, StoreResponse::Absent) => self.retry(),
+            // A write without a response may still be in flight, so an absent id proves nothing.
+            // The write is retried instead: only one of the two can satisfy the condition.
+            (Phase::ReadingBack { .. }, StoreResponse::Absent) => self.retry(),
+            (Phase::ReadingBack { revision, attempts }, _) => {
+                self.retry_read_back(attempts, |attempts| Phase::ReadingBack { revision, attempts })
             }
-            (Phase::CheckingConflict { tries }, _) => {
-                self.read_again(tries, |tries| Phase::CheckingConflict { tries })
+            (Phase::CheckingConflict { attempts }, _) => {
+                self.retry_read_back(attempts, |attempts| Phase::CheckingConflict { attempts })
             }
-            (Phase::Catching, _) => AcceptAction::CatchUp,
+            (Phase::CatchingUp, _) => AcceptAction::CatchUp,
         }
     }
 
-    /// Gives up because the store cannot be read.
+    /// Result if the store cannot be read: refused, or unknown after a write without a response.
     pub fn give_up(&self) -> AcceptResult {
         if self.lost_write > 0 {
             return AcceptResult::Unknown;
@@ -179,19 +179,19 @@
         AcceptResult::Refused(faults)
     }
 
-    fn race_again(&mut self) -> AcceptAction {
+    fn retry(&mut self) -> AcceptAction {
         self.retries += 1;
-        self.phase = Phase::Catching;
+        self.phase = Phase::CatchingUp;
 
         AcceptAction::CatchUp
     }
 
-    fn read_again(&mut self, tries: u32, phase: impl Fn(u32) -> Phase) -> AcceptAction {
-        if tries >= MAX_READ_BACK_RETRIES {
+    fn retry_read_back(&mut self, attempts: u32, phase: impl Fn(u32) -> Phase) -> AcceptAction {
+        if attempts >= MAX_READ_BACK_RETRIES {
             return AcceptAction::Finish(AcceptResult::Unknown);
         }
 
-        self.phase = phase(tries + 1);
+        self.phase = phase(attempts + 1);
         AcceptAction::ReadBack
     }
 }
--- a/grebedeck-config/src/change.rs
+++ b/grebedeck-config/src/change.rs
@@ -1,4 +1,8 @@
-//! Changes that operators send, and the log of accepted ones.
+//! Changes submitted by operators, and the log of accepted changes.
+//!
+//! A change is accepted or refused as a whole. It is refused if the resulting document has a fault,
+//! if it removes an object that does not exist, or if an organisation would be left without any
+//! target and the change does not allow that.
 
 use std::collections::BTreeMap;
 
@@ -10,16 +14,16 @@
 use crate::document::{Document, Group, Organisation, SelectorRule, Target, object_digest};
 use crate::routes::Routes;
 
-/// A change of the configuration. An object is set whole; `null` removes it.
+/// A change of the configuration. Each object replaces the previous one; `null` removes it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Change {
-    /// The operator's id of the change. The same id is accepted once.
+    /// Id chosen by the operator. Each id is accepted at most once, so a retry is safe.
     pub id: String,
-    /// Revision that the change was written against; where set, any later one refuses it.
+    /// Revision on which the change is based; if set, the change is refused on any other revision.
     #[serde(default)]
     pub base_revision: Option<Revision>,
-    /// Whether organisations may be left without any capacity.
+    /// Whether organisations may be left without any target.
     #[serde(default)]
     pub allow_no_capacity: bool,
     /// Targets to set or to remove.
@@ -36,56 +40,57 @@
     pub selectors: BTreeMap<String, Option<SelectorRule>>,
 }
 
-/// An accepted change with the revision that it made.
+/// An accepted change with the revision that it created.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LogEntry {
-    /// The revision after the change.
+    /// Revision after the change.
     pub revision: Revision,
     /// Digest of the document after the change.
     pub digest: Digest,
-    /// When the change was accepted, by the accepting process's clock.
+    /// Time of acceptance, by the accepting process's clock.
     pub accepted_unix_ms: UnixMs,
-    /// The change itself.
+    /// The accepted change.
     pub change: Change,
 }
 
-/// A whole document at a revision.
+/// A complete document at a revision.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// The document's revision; 0 before the first change.
+    /// Revision of the document; 0 before the first change.
     pub revision: Revision,
-    /// When the revision was accepted, by the accepting process's clock.
+    /// Time at which the revision was accepted, by the accepting process's clock.
     pub accepted_unix_ms: UnixMs,
     /// Digest of the document.
     pub digest: Digest,
-    /// The document.
+    /// The complete document.
     pub document: Document,
 }
 
 impl Change {
-    /// Gives the document after the change without checking it.
+    /// The document after the change, without validation.
     pub fn apply(&self, document: &Document) -> Document {
         self.apply_with_digest(document, 0).0
     }
 
-    /// Gives the document after the change, and its digest from that of the document before.
+    /// The document after the change and its digest, updated from the previous document's digest.
     pub fn apply_with_digest(&self, document: &Document, digest: Digest) -> (Document, Digest) {
         let mut next = document.clone();
 
-        let digest = merge("targets", &mut next.targets, &self.targets, digest);
-        let digest = merge("groups", &mut next.groups, &self.groups, digest);
-        let digest = merge("organisations", &mut next.organisations, &self.organisations, digest);
-        let digest = merge("selectors", &mut next.selectors, &self.selectors, digest);
+        let digest = apply_objects("targets", &mut next.targets, &self.targets, digest);
+        let digest = apply_objects("groups", &mut next.groups, &self.groups, digest);
+        let digest =
+            apply_objects("organisations", &mut next.organisations, &self.organisations, digest);
+        let digest = apply_objects("selectors", &mut next.selectors, &self.selectors, digest);
 
         (next, digest)
     }
 
-    /// Tells whether the change concerns organisations alone.
+    /// Whether the change affects nothing but organisations.
     pub fn changes_only_organisations(&self) -> bool {
         self.targets.is_empty() && self.groups.is_empty() && self.selectors.is_empty()
     }
 
-    /// Checks the change whole against a document and gives the next one, or every fault.
+    /// Validates the change against a document; returns the next document or every fault.
     pub fn check(&self, document: &Document) -> Result<Document, Faults> {
         let mut faults = Faults::default();
 
@@ -109,21 +114,22 @@
         faults.or(next)
     }
 
-    /// Adds a fault for each organisation that had capacity, or is new, and is left with none.
+    /// Adds a fault for each organisation that is new or had a target, and is left with none.
     fn check_capacity(&self, document: &Document, next: &Document, faults: &mut Faults) {
         let before = Routes::new(0, document);
         let after = before.after_change(0, next, self);
-        let only_these = self.changes_only_organisations();
+        let only_organisations = self.changes_only_organisations();
 
         for name in next.organisations.keys() {
-            // Nothing changes for organisations that such a change does not name.
-            if only_these && !self.organisations.contains_key(name) {
+            // Such a change affects no other organisation.
+            if only_organisations && !self.organisations.contains_key(name) {
                 continue;
             }
 
-            let had_some = !document.organisations.contains_key(name) || before.has_capacity(name);
+            let needs_capacity =
+                !document.organisations.contains_key(name) || before.has_capacity(name);
 
-            if had_some && !after.has_capacity(name) {
+            if needs_capacity && !after.has_capacity(name) {
                 let expected =
                     "a selector that gives it capacity, or `allow_no_capacity` in the change";
                 faults.add(format!("organisations.{name}"), name, expected);
@@ -132,8 +138,8 @@
     }
 }
 
-/// Puts a change's objects in their places; gives the digest after it.
-fn merge<T: Clone + Serialize>(
+/// Sets or removes the objects of one kind; returns the updated digest.
+fn apply_objects<T: Clone + Serialize>(
     kind: &str,
     into: &mut OrdMap<String, T>,
     from: &BTreeMap<String, Option<T>>,
--- a/grebedeck-config/src/document.rs
+++ b/grebedeck-config/src/document.rs
@@ -1,4 +1,7 @@
-//! The operators' document: targets, groups, organisations and selector rules.
+//! The configuration document: targets, groups, organisations and selector rules.
+//!
+//! [`Document::check`] reports every fault of a document at once, so that an operator can mend a
+//! change in one round.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -12,71 +15,71 @@
 use crate::label::{Labels, check_labels, is_label_text};
 use crate::selector::Selector;
 
-/// Label that names the service a target offers, and the service a request asks for.
+/// Label with the service that a target offers or that a request asks for.
 pub const SERVICE_LABEL: &str = "service";
-/// Implied label with a target's hall.
+/// Implicit label with a target's hall.
 pub const HALL_LABEL: &str = "hall";
-/// Implied label with a target's group.
+/// Implicit label with a target's group.
 pub const GROUP_LABEL: &str = "group";
-/// Implied label with the name of a target or an organisation.
+/// Implicit label with the name of a target or organisation.
 pub const NAME_LABEL: &str = "name";
 
-/// A back end with an agent beside it.
+/// A back end with an agent process next to it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Target {
-    /// The operators' labels.
+    /// Labels set by operators.
     #[serde(default)]
     pub labels: Labels,
-    /// The data hall that the target stands in.
+    /// The data hall in which the target runs.
     pub hall: HallName,
-    /// Where the target's agent takes streams.
+    /// Address on which the target's agent accepts streams.
     pub agent_address: SocketAddr,
-    /// The group that the target's ranks belong to, for a model.
+    /// The group of the target's ranks, if it serves a model that spans targets.
     #[serde(default)]
     pub group: Option<GroupName>,
-    /// The ranks of the group that run on this target.
+    /// The group's ranks that run on this target.
     #[serde(default)]
     pub ranks: Vec<Rank>,
-    /// Whether the target itself refuses orders with an old fencing token.
+    /// Whether the target itself rejects orders with a stale fencing token.
     #[serde(default)]
     pub checks_orders: bool,
 }
 
-/// A group of ranks that advance in lock-step.
+/// A group of ranks that run in lockstep.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Group {
-    /// The operators' labels; the group's targets have them too.
+    /// Labels set by operators; the group's targets inherit them.
     #[serde(default)]
     pub labels: Labels,
 }
 
-/// An organisation whose requests are served.
+/// A customer whose requests are served.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Organisation {
-    /// The operators' labels. Organisations with equal labels can share them.
+    /// Labels set by operators. Organisations with equal labels can share one allocation.
     #[serde(default)]
     pub labels: Arc<Labels>,
 }
 
-/// Says which traffic may reach which labelled capacity.
+/// Allows the traffic that one selector matches to use the targets that another one matches.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SelectorRule {
-    /// Selector over an organisation's labels and the request's `service`.
+    /// Selector on the organisation's labels and the request's `service`.
     #[serde(default)]
     pub traffic: String,
-    /// Selector over the labels of targets.
+    /// Selector on the labels of targets.
     #[serde(default)]
     pub capacity: String,
 }
 
-/// A whole configuration.
+/// A complete configuration.
 ///
-/// Its maps share their unchanged parts with the documents that they were made from, so a copy
-/// costs little however many organisations there are.
+/// The maps are persistent: a copy shares its unchanged parts with the original, so copying stays
+/// cheap with any number of organisations.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Document {
@@ -95,7 +98,7 @@
 }
 
 impl Document {
-    /// Gets a target's own labels together with its group's and the implied ones.
+    /// A target's own labels, those inherited from its group, and the implicit ones.
     pub fn target_labels(&self, name: &str, target: &Target) -> Labels {
         let group = target.group.as_ref();
         let inherited = group.and_then(|g| self.groups.get(g)).map(|g| g.labels.clone());
@@ -112,35 +115,35 @@
         labels
     }
 
-    /// Gets the digest of the whole document: the sum of its objects' digests.
+    /// Digest of the whole document: the wrapping sum of its objects' digests.
     pub fn digest(&self) -> Digest {
-        sum("targets", &self.targets)
-            .wrapping_add(sum("groups", &self.groups))
-            .wrapping_add(sum("organisations", &self.organisations))
-            .wrapping_add(sum("selectors", &self.selectors))
+        digest_of_all("targets", &self.targets)
+            .wrapping_add(digest_of_all("groups", &self.groups))
+            .wrapping_add(digest_of_all("organisations", &self.organisations))
+            .wrapping_add(digest_of_all("selectors", &self.selectors))
     }
 
-    /// Lets organisations with equal labels share them, which most of a large document can.
+    /// Deduplicates equal label sets of organisations; a large document has few distinct ones.
     pub fn share_labels(&mut self) {
-        let mut pool: BTreeSet<Arc<Labels>> = BTreeSet::new();
-        let mut shared = OrdMap::new();
+        let mut interned: BTreeSet<Arc<Labels>> = BTreeSet::new();
+        let mut organisations = OrdMap::new();
 
         for (name, organisation) in &self.organisations {
-            let labels = match pool.get(&organisation.labels) {
+            let labels = match interned.get(&organisation.labels) {
                 Some(labels) => labels.clone(),
                 None => {
-                    pool.insert(organisation.labels.clone());
+                    interned.insert(organisation.labels.clone());
                     organisation.labels.clone()
                 }
             };
 
-            shared.insert(name.clone(), Organisation { labels });
+            organisations.insert(name.clone(), Organisation { labels });
         }
 
-        self.organisations = shared;
+        self.organisations = organisations;
     }
 
-    /// Checks the document by itself and gives every fault.
+    /// Validates the document and reports every fault.
     pub fn check(&self) -> Result<(), Faults> {
         let mut faults = Faults::default();
 
@@ -175,8 +178,8 @@
     }
 
     fn check_targets(&self, faults: &mut Faults) {
-        let mut ranks_taken = BTreeMap::new();
-        let mut addresses_taken = BTreeMap::new();
+        let mut used_ranks = BTreeMap::new();
+        let mut used_addresses = BTreeMap::new();
 
         for (name, target) in &self.targets {
             let path = format!("targets.{name}");
@@ -186,7 +189,7 @@
                 faults.add(format!("{path}.hall"), &target.hall, "the name of a data hall");
             }
 
-            if let Some(other) = addresses_taken.insert(target.agent_address, name) {
+            if let Some(other) = used_addresses.insert(target.agent_address, name) {
                 let expected = format!("an address that no other target has; `{other}` has it");
                 faults.add(
                     format!("{path}.agent_address"),
@@ -195,7 +198,7 @@
                 );
             }
 
-            self.check_ranks(&path, target, &mut ranks_taken, faults);
+            self.check_ranks(&path, target, &mut used_ranks, faults);
         }
     }
 
@@ -203,7 +206,7 @@
         &'a self,
         path: &str,
         target: &'a Target,
-        taken: &mut BTreeMap<(&'a GroupName, Rank), ()>,
+        used_ranks: &mut BTreeMap<(&'a GroupName, Rank), ()>,
         faults: &mut Faults,
     ) {
         let Some(group) = &target.group else {
@@ -224,7 +227,7 @@
         }
 
         for rank in &target.ranks {
-            if taken.insert((group, *rank), ()).is_some() {
+            if used_ranks.insert((group, *rank), ()).is_some() {
                 let expected = "a rank that no other target of the group has";
                 faults.add(format!("{path}.ranks"), rank.to_string(), expected);
             }
@@ -253,13 +256,13 @@
     }
 }
 
-fn sum<T: Serialize + Clone>(kind: &str, objects: &OrdMap<String, T>) -> Digest {
+fn digest_of_all<T: Serialize + Clone>(kind: &str, objects: &OrdMap<String, T>) -> Digest {
     let digests = objects.iter().map(|(name, object)| object_digest(kind, name, object));
 
     digests.fold(0, Digest::wrapping_add)
 }
 
-/// Gets the digest of one object with its kind and name.
+/// Digest of one object together with its kind and name.
 pub(crate) fn object_digest<T: Serialize>(kind: &str, name: &str, object: &T) -> Digest {
     let bytes = serde_json::to_vec(&(kind, name, object)).expect("an object always serializes");
 
--- a/grebedeck-config/src/lib.rs
+++ b/grebedeck-config/src/lib.rs
@@ -1,11 +1,12 @@
 //! Configuration: labels, selectors, documents, changes and revisions.
 //!
-//! A configuration is a [`Document`] at a [`Revision`](grebedeck_core::Revision). Operators send a
-//! [`Change`]; it is checked whole against the document and either gives the next document or all
-//! its faults. Accepted changes form a log, and each process applies the log through a
-//! [`Replica`], which never goes to a lower revision. The [`Acceptor`] decides how a change is
-//! written to the platform's table service, also when the answer to a write is lost.
-//! [`Routes`] is the compiled form that the request path uses.
+//! A configuration is a [`Document`] at a [`Revision`](grebedeck_core::Revision). Operators submit
+//! a [`Change`], which is validated as a whole against the document and yields either the next
+//! document or the list of all its faults. Accepted changes form a log, and each process applies
+//! the log to its [`Replica`], whose revision never decreases. The [`Acceptor`] decides how a
+//! change is written to the platform's table service, including when the response to a write is
+//! lost.
+//! [`Routes`] is the compiled form that serves the request path.
 
 #![forbid(unsafe_code)]
 
--- a/grebedeck-config/src/replica.rs
+++ b/grebedeck-config/src/replica.rs
@@ -1,7 +1,8 @@
-//! A process's own copy of the configuration.
+//! A process's copy of the configuration.
 //!
-//! It moves forward only. Whatever tells it of a lower revision, be it a stale peer, a stale read
-//! or a replayed message, is ignored.
+//! Its revision never decreases: a lower one, whether from a stale peer, a stale read or a replayed
+//! message, is ignored. An entry is applied only to the revision directly before it, and only if
+//! the resulting document has the digest that the entry states.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -12,32 +13,32 @@
 use crate::change::{Change, LogEntry, Snapshot};
 use crate::document::Document;
 
-/// How many log entries a replica keeps to hand on to its peers.
+/// Maximum number of log entries that a replica keeps for its peers.
 pub const MAX_KEPT_ENTRIES: usize = 1024;
 
-/// What became of an offered entry or snapshot.
+/// Result of applying a log entry or a snapshot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ApplyResult {
-    /// The replica is at a new revision.
+    /// The replica advanced to a newer revision.
     Applied,
-    /// The offer was not newer.
+    /// The received revision is not newer; nothing changed.
     Stale,
-    /// Entries between the replica's revision and the offer are missing.
+    /// Entries between the replica's revision and the received one are missing.
     Gap,
-    /// The offer's digest is not that of the resulting document.
+    /// The stated digest is not that of the resulting document.
     Corrupt,
 }
 
-/// What brings another replica up to this one.
+/// Update that brings a lagging replica to the sender's revision.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum CatchUp {
-    /// The log entries that it lacks, in order.
+    /// The missing log entries, in order of revision.
     Entries(Vec<LogEntry>),
-    /// The whole document, where the log does not reach back far enough.
+    /// The complete document, if the log does not reach back far enough.
     Snapshot(Box<Snapshot>),
 }
 
-/// The configuration that is in force in this process.
+/// The configuration in force in this process.
 #[derive(Clone, Debug, Default)]
 pub struct Replica {
     revision: Revision,
@@ -48,22 +49,22 @@
 }
 
 impl Replica {
-    /// Gets the revision in force; 0 where there is none yet.
+    /// Revision in force; 0 before the first one.
     pub fn revision(&self) -> Revision {
         self.revision
     }
 
-    /// Gets the document in force.
+    /// Document in force.
     pub fn document(&self) -> &Arc<Document> {
         &self.document
     }
 
-    /// Gets the digest of the document in force.
+    /// Digest of the document in force.
     pub fn digest(&self) -> Digest {
         self.digest
     }
 
-    /// Gets the kept entries after a revision, or `None` where the log does not reach back so far.
+    /// Entries after a revision, or `None` if the kept log does not reach back that far.
     pub fn entries_after(&self, revision: Revision) -> Option<Vec<LogEntry>> {
         if revision >= self.revision {
             return Some(Vec::new());
@@ -76,7 +77,7 @@
         Some(self.entries.iter().filter(|e| e.revision > revision).cloned().collect())
     }
 
-    /// Gets the whole document at its revision.
+    /// The complete document with its revision.
     pub fn snapshot(&self) -> Snapshot {
         Snapshot {
             revision: self.revision,
@@ -86,47 +87,47 @@
         }
     }
 
-    /// Gets when the revision in force was accepted.
+    /// Time at which the revision in force was accepted.
     pub fn accepted_unix_ms(&self) -> UnixMs {
         self.accepted_unix_ms
     }
 
-    /// Gets what brings a replica at `revision` up to this one, or `None` where nothing does.
+    /// Update for a replica at `revision`, or `None` if it does not lag behind this one.
     pub fn catch_up(&self, revision: Revision) -> Option<CatchUp> {
         if revision >= self.revision {
             return None;
         }
 
-        let caught = match self.entries_after(revision) {
+        let update = match self.entries_after(revision) {
             Some(entries) => CatchUp::Entries(entries),
             None => CatchUp::Snapshot(Box::new(self.snapshot())),
         };
 
-        Some(caught)
+        Some(update)
     }
 
-    /// Takes in what another process sent to catch up; tells what became of it.
+    /// Applies an update from another process.
     pub fn apply(&mut self, catch_up: CatchUp) -> ApplyResult {
         self.apply_each(catch_up, |_, _| ())
     }
 
-    /// Takes in what another process sent to catch up. `adopted` is called at each new revision,
-    /// with the change that made it, or without one after a whole document.
+    /// Applies an update from another process. `on_applied` is called at each new revision with the
+    /// change that created it, or with `None` after a snapshot.
     pub fn apply_each(
         &mut self,
         catch_up: CatchUp,
-        mut adopted: impl FnMut(&Replica, Option<&Change>),
+        mut on_applied: impl FnMut(&Replica, Option<&Change>),
     ) -> ApplyResult {
         match catch_up {
-            CatchUp::Entries(entries) => self.apply_entries(entries, adopted),
+            CatchUp::Entries(entries) => self.apply_entries(entries, on_applied),
             CatchUp::Snapshot(snapshot) => {
-                let adoption = self.apply_snapshot(*snapshot);
+                let result = self.apply_snapshot(*snapshot);
 
-                if adoption == ApplyResult::Applied {
-                    adopted(self, None);
+                if result == ApplyResult::Applied {
+                    on_applied(self, None);
                 }
 
-                adoption
+                result
             }
         }
     }
@@ -134,28 +135,28 @@
     fn apply_entries(
         &mut self,
         entries: Vec<LogEntry>,
-        mut adopted: impl FnMut(&Replica, Option<&Change>),
+        mut on_applied: impl FnMut(&Replica, Option<&Change>),
     ) -> ApplyResult {
-        let mut whole = ApplyResult::Stale;
+        let mut result = ApplyResult::Stale;
 
         for entry in entries {
             let change = entry.change.clone();
 
             match self.apply_entry(entry) {
                 ApplyResult::Applied => {
-                    adopted(self, Some(&change));
-                    whole = ApplyResult::Applied;
+                    on_applied(self, Some(&change));
+                    result = ApplyResult::Applied;
                 }
-                // Entries that were known already may stand before the new ones.
+                // Entries that were applied earlier may precede the new ones.
                 ApplyResult::Stale => {}
-                fault => return if whole == ApplyResult::Applied { whole } else { fault },
+                error => return if result == ApplyResult::Applied { result } else { error },
             }
         }
 
-        whole
+        result
     }
 
-    /// Adopts the next log entry.
+    /// Applies the next log entry.
     pub fn apply_entry(&mut self, entry: LogEntry) -> ApplyResult {
         if entry.revision <= self.revision {
             return ApplyResult::Stale;
@@ -172,7 +173,7 @@
         }
 
         self.digest = digest;
-        self.move_to(entry.revision, entry.accepted_unix_ms, next);
+        self.replace(entry.revision, entry.accepted_unix_ms, next);
         self.entries.push_back(entry);
 
         if self.entries.len() > MAX_KEPT_ENTRIES {
@@ -182,7 +183,7 @@
         ApplyResult::Applied
     }
 
-    /// Adopts a whole document where it is newer.
+    /// Replaces the document if the snapshot is newer.
     pub fn apply_snapshot(&mut self, mut snapshot: Snapshot) -> ApplyResult {
         if snapshot.revision <= self.revision {
             return ApplyResult::Stale;
@@ -194,15 +195,15 @@
 
         snapshot.document.share_labels();
         self.digest = snapshot.digest;
-        self.move_to(snapshot.revision, snapshot.accepted_unix_ms, snapshot.document);
-        // The kept entries no longer reach up to the revision in force.
+        self.replace(snapshot.revision, snapshot.accepted_unix_ms, snapshot.document);
+        // The kept entries no longer lead up to the revision in force.
         self.entries.clear();
 
         ApplyResult::Applied
     }
 
-    fn move_to(&mut self, revision: Revision, accepted_unix_ms: UnixMs, document: Document) {
-        assert!(revision > self.revision, "a configuration must never revert");
+    fn replace(&mut self, revision: Revision, accepted_unix_ms: UnixMs, document: Document) {
+        assert!(revision > self.revision, "the revision must increase");
 
         self.revision = revision;
         self.accepted_unix_ms = accepted_unix_ms;
--- a/grebedeck-config/src/routes.rs
+++ b/grebedeck-config/src/routes.rs
@@ -1,8 +1,8 @@
-//! The compiled form of a document: which targets each organisation may use for each service.
+//! The compiled form of a document: the targets that each organisation may use for each service.
 //!
-//! Organisations with the same labels share one route, so the size grows with the number of
-//! distinct label sets, not with the number of organisations, as long as no selector names an
-//! organisation.
+//! Organisations with equal labels form a class and share its routes. Memory and compile time
+//! therefore grow with the number of distinct label sets, not with the number of organisations,
+//! unless a traffic selector refers to organisations by name.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -19,44 +19,44 @@
 use crate::label::Labels;
 use crate::selector::Selector;
 
-/// What the request path knows of a target.
+/// A target as the request path needs it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Route {
-    /// The target's name.
+    /// Name of the target.
     pub name: TargetName,
-    /// The hall that it stands in.
+    /// The data hall in which the target runs.
     pub hall: HallName,
-    /// Where its agent takes streams.
+    /// Address on which the target's agent accepts streams.
     pub agent_address: SocketAddr,
-    /// Its group, for a model.
+    /// Group of the target's ranks, if it serves a model that spans targets.
     pub group: Option<GroupName>,
-    /// Its ranks in the group.
+    /// The group's ranks that run on the target.
     pub ranks: Vec<Rank>,
-    /// Whether the target itself checks fencing tokens.
+    /// Whether the target itself rejects orders with a stale fencing token.
     pub checks_orders: bool,
 }
 
-type ClassNo = u32;
+type ClassIndex = u32;
 type AllowedByService = BTreeMap<ServiceName, Arc<[Arc<Route>]>>;
 
-/// All routes of one revision.
+/// Routes of all organisations at one revision.
 #[derive(Clone, Debug, Default)]
 pub struct Routes {
     revision: Revision,
     targets: Arc<BTreeMap<TargetName, Arc<Route>>>,
-    compiled: Arc<Compiled>,
-    class_of: HashMap<OrganisationName, ClassNo>,
-    class_by_labels: HashMap<Labels, ClassNo>,
+    input: Arc<CompilerInput>,
+    class_by_organisation: HashMap<OrganisationName, ClassIndex>,
+    class_by_labels: HashMap<Labels, ClassIndex>,
     classes: Vector<Arc<AllowedByService>>,
 }
 
-/// What classes of organisations are compiled from.
+/// Parsed rules and labelled targets, from which the classes of organisations are compiled.
 #[derive(Debug, Default)]
-struct Compiled {
+struct CompilerInput {
     rules: Vec<Rule>,
     labelled: Vec<LabelledTarget>,
-    /// Whether some selector names organisations, so that each has a class of its own.
-    names_matter: bool,
+    /// Whether a traffic selector may refer to names, which gives each organisation its own class.
+    has_name_selectors: bool,
 }
 
 #[derive(Debug)]
@@ -72,15 +72,16 @@
 }
 
 impl Routes {
-    /// Compiles a document that has been checked. A selector that does not parse allows nothing.
+    /// Compiles a validated document. A rule whose selectors do not parse allows nothing.
     pub fn new(revision: Revision, document: &Document) -> Self {
         let labelled = labelled_targets(document);
         let target = |t: &LabelledTarget| (t.route.name.clone(), t.route.clone());
         let targets = Arc::new(labelled.iter().map(target).collect());
         let rules = document.selectors.values().filter_map(compile_rule).collect();
-        let names_matter = document.selectors.values().any(|r| r.traffic.contains(NAME_LABEL));
-        let compiled = Arc::new(Compiled { rules, labelled, names_matter });
-        let mut routes = Routes { revision, targets, compiled, ..Routes::default() };
+        let has_name_selectors =
+            document.selectors.values().any(|r| r.traffic.contains(NAME_LABEL));
+        let input = Arc::new(CompilerInput { rules, labelled, has_name_selectors });
+        let mut routes = Routes { revision, targets, input, ..Routes::default() };
 
         for (name, organisation) in &document.organisations {
             routes.classify(name, organisation);
@@ -89,9 +90,9 @@
         routes
     }
 
-    /// Gives the routes of the document that a change has led to.
+    /// The routes of the document that results from a change.
     ///
-    /// A change of organisations alone costs no more than the organisations that it names.
+    /// A change of organisations alone takes time in proportion to the organisations that it names.
     pub fn after_change(&self, revision: Revision, document: &Document, change: &Change) -> Self {
         if !change.changes_only_organisations() {
             return Routes::new(revision, document);
@@ -103,7 +104,7 @@
             match organisation {
                 Some(organisation) => routes.classify(name, organisation),
                 None => {
-                    routes.class_of.remove(name);
+                    routes.class_by_organisation.remove(name);
                 }
             }
         }
@@ -114,56 +115,58 @@
     fn classify(&mut self, name: &str, organisation: &Organisation) {
         let mut labels = organisation.labels.as_ref().clone();
 
-        if self.compiled.names_matter {
+        if self.input.has_name_selectors {
             labels.insert(NAME_LABEL.into(), name.to_string());
         }
 
         let class = match self.class_by_labels.get(&labels) {
             Some(class) => *class,
             None => {
-                let class = self.classes.len() as ClassNo;
-                self.classes.push_back(Arc::new(compile_class(&labels, &self.compiled)));
+                let class = self.classes.len() as ClassIndex;
+                self.classes.push_back(Arc::new(compile_class(&labels, &self.input)));
                 self.class_by_labels.insert(labels, class);
                 class
             }
         };
 
-        self.class_of.insert(name.to_string(), class);
+        self.class_by_organisation.insert(name.to_string(), class);
     }
 
-    /// Gets the revision that the routes were compiled from.
+    /// Revision from which the routes were compiled.
     pub fn revision(&self) -> Revision {
         self.revision
     }
 
-    /// Tells whether the organisation is in the configuration.
+    /// Whether the configuration contains the organisation.
     pub fn has_organisation(&self, organisation: &str) -> bool {
-        self.class_of.contains_key(organisation)
+        self.class_by_organisation.contains_key(organisation)
     }
 
-    /// Gets the targets that the organisation may use for the service, ordered by name.
+    /// Targets that the organisation may use for the service, ordered by name.
     pub fn allowed(&self, organisation: &str, service: &str) -> Option<&Arc<[Arc<Route>]>> {
-        let class = *self.class_of.get(organisation)?;
+        let class = *self.class_by_organisation.get(organisation)?;
 
         self.classes[class as usize].get(service)
     }
 
-    /// Tells whether the organisation may use any target.
+    /// Whether the organisation may use any target.
     pub fn has_capacity(&self, organisation: &str) -> bool {
-        self.class_of.get(organisation).is_some_and(|c| !self.classes[*c as usize].is_empty())
+        self.class_by_organisation
+            .get(organisation)
+            .is_some_and(|c| !self.classes[*c as usize].is_empty())
     }
 
-    /// Gets all targets by name.
+    /// All targets, by name.
     pub fn targets(&self) -> &BTreeMap<TargetName, Arc<Route>> {
         &self.targets
     }
 
-    /// Gets the number of distinct classes of organisations.
+    /// Number of classes compiled so far, including ones that no organisation uses any more.
     pub fn class_count(&self) -> usize {
         self.classes.len()
     }
 
-    /// Gets the targets of a group, ordered by their first rank.
+    /// Targets of a group, ordered by their lowest rank.
     pub fn group_members(&self, group: &str) -> Vec<Arc<Route>> {
         let in_group = |r: &&Arc<Route>| r.group.as_deref() == Some(group);
         let mut members: Vec<_> = self.targets.values().filter(in_group).cloned().collect();
@@ -196,11 +199,11 @@
     Some(Rule { traffic, capacity })
 }
 
-fn compile_class(labels: &Labels, compiled: &Compiled) -> AllowedByService {
+fn compile_class(labels: &Labels, input: &CompilerInput) -> AllowedByService {
     let mut allowed: BTreeMap<&str, Vec<Arc<Route>>> = BTreeMap::new();
     let mut traffic_labels = labels.clone();
 
-    for target in &compiled.labelled {
+    for target in &input.labelled {
         let Some(service) = target.labels.get(SERVICE_LABEL) else {
             continue;
         };
@@ -209,7 +212,7 @@
         let admits =
             |r: &Rule| r.traffic.matches(&traffic_labels) && r.capacity.matches(&target.labels);
 
-        if compiled.rules.iter().any(admits) {
+        if input.rules.iter().any(admits) {
             allowed.entry(service).or_default().push(target.route.clone());
         }
     }
--- a/grebedeck-config/src/selector.rs
+++ b/grebedeck-config/src/selector.rs
@@ -1,12 +1,12 @@
-//! Selectors over labels, in the syntax that operators know from their schedulers.
+//! Label selectors, in the syntax that operators know from cluster schedulers.
 //!
-//! A selector is a list of requirements separated by commas, and all must hold: `key=value` (or
-//! `==`), `key!=value`, `key in (a, b)`, `key notin (a, b)`, `key` and `!key`. An empty selector
-//! matches everything.
+//! A selector is a comma-separated list of requirements, all of which must hold: `key=value` (or
+//! `==`), `key!=value`, `key in (a, b)`, `key notin (a, b)`, `key` and `!key`. `!=` and `notin`
+//! also match labels without the key. An empty selector matches everything.
 
 use crate::label::{Labels, is_label_text};
 
-/// Most requirements in one selector.
+/// Maximum number of requirements in one selector.
 pub const MAX_REQUIREMENTS: usize = 32;
 
 /// A parsed selector.
@@ -35,7 +35,7 @@
 }
 
 impl Selector {
-    /// Parses a selector, or says what is wrong and where.
+    /// Parses a selector. The error describes the invalid part for the operator.
     pub fn parse(text: &str) -> Result<Self, String> {
         let mut requirements = Vec::new();
 
@@ -50,13 +50,13 @@
         Ok(Selector { requirements })
     }
 
-    /// Tells whether all requirements hold for the labels.
+    /// Whether all requirements hold for the labels.
     pub fn matches(&self, labels: &Labels) -> bool {
         self.requirements.iter().all(|r| r.matches(labels))
     }
 }
 
-/// Splits at the commas that stand outside of parentheses.
+/// Splits at the commas outside parentheses.
 fn split_requirements(text: &str) -> Result<Vec<&str>, String> {
     if text.trim().is_empty() {
         return Ok(Vec::new());
@@ -111,21 +111,21 @@
 }
 
 fn parse_list(part: &str, open: usize) -> Result<Requirement, String> {
-    let Some(list) = part[open + 1..].strip_suffix(')') else {
+    let Some(values) = part[open + 1..].strip_suffix(')') else {
         return Err(format!("`{part}`: text after `)`"));
     };
 
     let mut head = part[..open].split_whitespace();
-    let (key, word, rest) = (head.next(), head.next(), head.next());
+    let (key, operator, rest) = (head.next(), head.next(), head.next());
 
-    let (Some(key), Some(word), None) = (key, word, rest) else {
+    let (Some(key), Some(operator), None) = (key, operator, rest) else {
         return Err(format!("`{part}`: expected `key in (…)` or `key notin (…)`"));
     };
 
     let key = parse_key(key)?;
-    let values = list.split(',').map(parse_value).collect::<Result<Vec<_>, _>>()?;
+    let values = values.split(',').map(parse_value).collect::<Result<Vec<_>, _>>()?;
 
-    match word {
+    match operator {
         "in" => Ok(Requirement::In(key, values)),
         "notin" => Ok(Requirement::NotIn(key, values)),
         other => Err(format!("`{other}`: expected `in` or `notin`")),
--- a/grebedeck-config/tests/accept.rs
+++ b/grebedeck-config/tests/accept.rs
@@ -1,4 +1,4 @@
-//! Accepting changes under retries, lost answers and writes that land late.
+//! Acceptance of changes under races, lost responses and writes that take effect late.
 
 use std::collections::BTreeMap;
 
@@ -8,12 +8,12 @@
 };
 use proptest::prelude::*;
 
-/// A store whose writes may be answered, lost before or after they take effect, or land late.
+/// A store that confirms a write, loses the response to one that took effect, or delays a write.
 #[derive(Default)]
 struct Store {
     log: Vec<LogEntry>,
     ids: BTreeMap<String, u64>,
-    late: Vec<LogEntry>,
+    delayed: Vec<LogEntry>,
 }
 
 impl Store {
@@ -29,8 +29,8 @@
         true
     }
 
-    fn land_late_writes(&mut self) {
-        for entry in std::mem::take(&mut self.late) {
+    fn apply_delayed_writes(&mut self) {
+        for entry in std::mem::take(&mut self.delayed) {
             self.write(&entry);
         }
     }
@@ -51,19 +51,19 @@
         Operator { acceptor, order, id, replica: Replica::default() }
     }
 
-    fn step(&mut self, store: &mut Store, fate: u8) {
+    fn step(&mut self, store: &mut Store, fault: u8) {
         self.order = match self.order.clone() {
             AcceptAction::CatchUp => {
                 let before = self.replica.revision();
                 self.replica.apply(CatchUp::Entries(store.log.clone()));
                 assert!(self.replica.revision() >= before);
-                let known = store.ids.get(&self.id).copied();
+                let stored = store.ids.get(&self.id).copied();
                 let document = self.replica.document().clone();
-                self.acceptor.on_caught_up(self.replica.revision(), &document, known, 0)
+                self.acceptor.on_caught_up(self.replica.revision(), &document, stored, 0)
             }
-            AcceptAction::Write(entry) => self.acceptor.on_response(match fate % 4 {
+            AcceptAction::Write(entry) => self.acceptor.on_response(match fault % 4 {
                 0 => {
-                    store.late.push(*entry);
+                    store.delayed.push(*entry);
                     StoreResponse::Lost
                 }
                 1 => {
@@ -74,17 +74,17 @@
                 _ => StoreResponse::Conflict,
             }),
             AcceptAction::ReadBack => {
-                self.acceptor.on_response(match (fate % 3, store.ids.get(&self.id)) {
+                self.acceptor.on_response(match (fault % 3, store.ids.get(&self.id)) {
                     (0, _) => StoreResponse::Lost,
                     (_, Some(revision)) => StoreResponse::Found(*revision),
                     (_, None) => StoreResponse::Absent,
                 })
             }
-            finished => finished,
+            finish => finish,
         };
 
-        if fate.is_multiple_of(5) {
-            store.land_late_writes();
+        if fault.is_multiple_of(5) {
+            store.apply_delayed_writes();
         }
     }
 
@@ -112,22 +112,22 @@
         rng_seed: proptest::test_runner::RngSeed::Fixed(11), ..ProptestConfig::default() })]
 
     #[test]
-    fn what_operators_are_told_is_true_for_ever(
-        turns in prop::collection::vec((0usize..4, any::<u8>()), 40..400),
+    fn results_reported_to_operators_stay_true(
+        steps in prop::collection::vec((0usize..4, any::<u8>()), 40..400),
     ) {
         let mut store = Store::default();
         let mut operators: Vec<_> = (0..4).map(|n| Operator::new(change(n))).collect();
 
-        for (who, fate) in turns {
-            operators[who].step(&mut store, fate);
+        for (operator, fault) in steps {
+            operators[operator].step(&mut store, fault);
         }
 
-        store.land_late_writes();
+        store.apply_delayed_writes();
 
         for operator in &operators {
             let stored = store.ids.get(&operator.id);
-            let times = store.log.iter().filter(|e| e.change.id == operator.id).count();
-            prop_assert!(times <= 1, "applied twice");
+            let count = store.log.iter().filter(|e| e.change.id == operator.id).count();
+            prop_assert!(count <= 1, "applied twice");
 
             match operator.result() {
                 Some(AcceptResult::Accepted(revision)) => prop_assert_eq!(stored, Some(revision)),
@@ -137,14 +137,14 @@
         }
 
         let mut replica = Replica::default();
-        let adoption = replica.apply(CatchUp::Entries(store.log.clone()));
-        prop_assert!(store.log.is_empty() || adoption == ApplyResult::Applied);
+        let result = replica.apply(CatchUp::Entries(store.log.clone()));
+        prop_assert!(store.log.is_empty() || result == ApplyResult::Applied);
         prop_assert_eq!(replica.revision(), store.log.len() as u64);
     }
 }
 
 #[test]
-fn a_change_is_refused_whole_with_every_fault() {
+fn a_refused_change_reports_every_fault() {
     let target = Target {
         labels: BTreeMap::from([("tier".into(), "not valid!".into())]),
         hall: String::new(),
@@ -176,7 +176,7 @@
 }
 
 #[test]
-fn an_organisation_left_without_capacity_needs_the_operators_word() {
+fn an_organisation_without_capacity_needs_explicit_permission() {
     let mut change = change(1);
     change.allow_no_capacity = false;
     assert_eq!(change.check(&Default::default()).unwrap_err().0[0].field, "organisations.org-1");
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn a_replica_never_goes_back_and_notices_gaps_and_corruption() {
+fn a_replica_rejects_stale_gapped_and_corrupt_updates() {
     let entry = |revision, number| {
         let change = change(number);
         let digest = change.apply(&Default::default()).digest();
--- a/grebedeck-config/tests/selector.rs
+++ b/grebedeck-config/tests/selector.rs
@@ -1,4 +1,4 @@
-//! The selector syntax.
+//! Syntax and matching of selectors.
 
 use grebedeck_config::{Labels, Selector};
 use proptest::prelude::*;
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn requirements_match_as_operators_expect() {
+fn requirements_match_labels() {
     let gold = labels(&[("tier", "gold"), ("hall", "a")]);
 
     for (text, expected) in [
@@ -29,8 +29,8 @@
 }
 
 #[test]
-fn bad_selectors_say_what_is_wrong() {
-    for (text, word) in [
+fn invalid_selectors_report_the_reason() {
+    for (text, expected) in [
         ("tier in (gold", "not closed"),
         ("tier) x", "without"),
         ("tier like (a)", "expected `in` or `notin`"),
@@ -39,7 +39,7 @@
         ("tier in (a) b", "after `)`"),
     ] {
         let error = Selector::parse(text).unwrap_err();
-        assert!(error.contains(word), "{text}: {error}");
+        assert!(error.contains(expected), "{text}: {error}");
     }
 }
 
@@ -48,7 +48,7 @@
         rng_seed: proptest::test_runner::RngSeed::Fixed(3), ..ProptestConfig::default() })]
 
     #[test]
-    fn no_text_makes_the_parser_panic(text in "[a-c!=,() in]{0,40}") {
+    fn parser_never_panics(text in "[a-c!=,() in]{0,40}") {
         if let Ok(selector) = Selector::parse(&text) {
             let parsed_again = Selector::parse(&text).unwrap();
             prop_assert_eq!(selector, parsed_again);
--- a/grebedeck-config/tests/spread.rs
+++ b/grebedeck-config/tests/spread.rs
@@ -1,4 +1,4 @@
-//! Replicas that hear of revisions late, twice, out of order and from stale peers.
+//! Replicas that receive revisions late, repeatedly, out of order and from stale peers.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -12,7 +12,7 @@
     let mut log = Vec::new();
 
     for revision in 1..=REVISIONS {
-        // Some organisations come, some go, and some come again.
+        // Organisations are added, removed and added again.
         let organisation = (!revision.is_multiple_of(4)).then(Organisation::default);
         let name = format!("org-{}", revision % 4 % 3);
         let change = Change {
@@ -31,13 +31,13 @@
 
 #[derive(Clone, Debug)]
 enum Event {
-    /// One process reads the store up to some revision; the read may be stale.
+    /// A process reads the store up to some revision; the read may be stale.
     ReadStore { process: usize, until: u64 },
-    /// One process tells another what it had lacked when they last spoke, if that was ever.
-    Tell { from: usize, to: usize, lacked: u64 },
-    /// A message that was sent before arrives, perhaps again.
+    /// A process sends another one an update from the revision at which it last knew it, or from 0.
+    Send { from: usize, to: usize, revision: u64 },
+    /// A message that was sent earlier arrives, possibly again.
     Deliver { message: usize, to: usize },
-    /// A process is replaced and knows nothing.
+    /// A process is replaced by one without a configuration.
     Replace { process: usize },
 }
 
@@ -47,7 +47,7 @@
         2 => (process.clone(), 0..=REVISIONS)
             .prop_map(|(process, until)| Event::ReadStore { process, until }),
         4 => (process.clone(), process.clone(), 0..=REVISIONS)
-            .prop_map(|(from, to, lacked)| Event::Tell { from, to, lacked }),
+            .prop_map(|(from, to, revision)| Event::Send { from, to, revision }),
         4 => (any::<usize>(), process.clone())
             .prop_map(|(message, to)| Event::Deliver { message, to }),
         1 => process.prop_map(|process| Event::Replace { process }),
@@ -61,7 +61,7 @@
         rng_seed: proptest::test_runner::RngSeed::Fixed(17), ..ProptestConfig::default() })]
 
     #[test]
-    fn replicas_only_move_forward_and_agree_on_each_revision(events in events()) {
+    fn replica_revisions_never_decrease_and_digests_agree(events in events()) {
         let log = log();
         let mut replicas = vec![Replica::default(); 5];
         let mut sent: Vec<CatchUp> = Vec::new();
@@ -76,8 +76,8 @@
                     let entries = log.iter().filter(|e| e.revision <= until).cloned().collect();
                     replicas[process].apply(CatchUp::Entries(entries));
                 }
-                Event::Tell { from, to, lacked } => {
-                    if let Some(catch_up) = replicas[from].catch_up(lacked) {
+                Event::Send { from, to, revision } => {
+                    if let Some(catch_up) = replicas[from].catch_up(revision) {
                         sent.push(catch_up.clone());
                         prop_assert!(replicas[to].apply(catch_up) != ApplyResult::Corrupt);
                     }
@@ -95,15 +95,15 @@
             }
 
             for (process, replica) in replicas.iter().enumerate() {
-                let kept = replaced == Some(process) || replica.revision() >= before[process];
-                prop_assert!(kept, "process {process} went back");
-                let known = *digests.entry(replica.revision()).or_insert(replica.digest());
-                prop_assert_eq!(known, replica.digest());
+                let is_monotonic = replaced == Some(process) || replica.revision() >= before[process];
+                prop_assert!(is_monotonic, "revision of process {process} decreased");
+                let expected = *digests.entry(replica.revision()).or_insert(replica.digest());
+                prop_assert_eq!(expected, replica.digest());
                 prop_assert_eq!(replica.document().digest(), replica.digest());
             }
         }
 
-        // Whatever was lost before, one more round brings everybody to the newest revision.
+        // Whatever was lost, one complete log brings every replica to the newest revision.
         for replica in &mut replicas {
             replica.apply(CatchUp::Entries(log.clone()));
             prop_assert_eq!(replica.revision(), REVISIONS);
@@ -112,11 +112,11 @@
 }
 
 #[test]
-fn a_snapshot_that_does_not_fit_its_digest_is_not_adopted() {
+fn a_snapshot_with_a_wrong_digest_is_not_applied() {
     let mut source = Replica::default();
     source.apply(CatchUp::Entries(log()));
     let mut snapshot = source.snapshot();
-    snapshot.document.organisations.insert("smuggled".to_string(), Organisation::default());
+    snapshot.document.organisations.insert("extra".to_string(), Organisation::default());
     let mut replica = Replica::default();
 
     assert_eq!(replica.apply_snapshot(snapshot), ApplyResult::Corrupt);
