--- a/grebedeck-lab/src/model.rs
+++ b/grebedeck-lab/src/model.rs
@@ -13,7 +13,7 @@
 use grebedeck_experts::ExpertMap;
 use grebedeck_experts::plan::max_rank_time;
 use grebedeck_net::platform::engine::{
-    EngineAction, EngineAnswer, EngineOrder, EngineState, LayerTokens,
+    EngineAction, EngineOrder, EngineResponse, EngineState, LayerTokens,
 };
 use http_types::{Body, Request, Response};
 
@@ -226,10 +226,10 @@
         }
     }
 
-    fn order(&self, rank: Rank, order: EngineOrder) -> EngineAnswer {
+    fn order(&self, rank: Rank, order: EngineOrder) -> EngineResponse {
         let mut state = self.lock();
         let next_step = state.next_step;
-        let refused = EngineAnswer { done: false, next_step };
+        let refused = EngineResponse { done: false, next_step };
         let own = &mut state.ranks[usize::from(rank)];
 
         if order.epoch < own.seen_epoch {
@@ -254,7 +254,7 @@
             EngineAction::Keep => own.hold_at = None,
         }
 
-        EngineAnswer { done: true, next_step }
+        EngineResponse { done: true, next_step }
     }
 
     /// Streams one event per step, as many as the request asks for.
--- a/grebedeck-net/src/codec.rs
+++ b/grebedeck-net/src/codec.rs
@@ -1,4 +1,4 @@
-//! Messages as bytes: a length, then the message in bincode.
+//! Encoding of messages as frames: a big-endian `u32` length, then the message in bincode.
 
 use bytes::{BufMut, Bytes, BytesMut};
 use grebedeck_core::error::{limit_error, protocol_error};
@@ -6,12 +6,12 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// Length of the prefix that holds a frame's length, in bytes.
+/// Size of a frame's length prefix.
 pub const PREFIX_BYTES: usize = 4;
-/// Largest frame, in bytes.
+/// Maximum length of a frame, without its prefix.
 pub const MAX_FRAME_BYTES: usize = 16 << 20;
 
-/// Encodes a message with its length prefix.
+/// Encodes a message as a frame.
 pub fn encode<T: Serialize>(message: &T) -> Result<Bytes> {
     let mut buffer = BytesMut::with_capacity(256);
     encode_into(message, &mut buffer)?;
@@ -19,7 +19,7 @@
     Ok(buffer.freeze())
 }
 
-/// Encodes a message with its length prefix behind what the buffer holds.
+/// Appends a message as a frame to the buffer.
 pub fn encode_into<T: Serialize>(message: &T, buffer: &mut BytesMut) -> Result<()> {
     let start = buffer.len();
     buffer.put_u32(0);
@@ -39,7 +39,7 @@
     Ok(())
 }
 
-/// Decodes a message without its length prefix; left-over bytes are an error.
+/// Decodes a message from a frame without its prefix; trailing bytes are an error.
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T> {
     let config = bincode::config::standard().with_limit::<MAX_FRAME_BYTES>();
     let (message, used) = bincode::serde::decode_from_slice(bytes, config)
--- a/grebedeck-net/src/frame.rs
+++ b/grebedeck-net/src/frame.rs
@@ -1,4 +1,7 @@
-//! Frames on the two directions of an h2 stream, with the stream's own flow control.
+//! Length-prefixed frames over an h2 stream.
+//!
+//! Backpressure comes from HTTP/2 flow control: a writer waits for window capacity, and a reader
+//! returns capacity as it buffers data.
 
 use std::future::poll_fn;
 
@@ -11,77 +14,77 @@
 
 use crate::codec::{MAX_FRAME_BYTES, PREFIX_BYTES, decode, encode};
 
-/// Turns an h2 error into the project's.
+/// Converts an h2 error into an I/O error of kind `ConnectionAborted`.
 pub fn h2_error(error: h2::Error) -> Error {
     Error::Io(std::io::Error::new(std::io::ErrorKind::ConnectionAborted, error.to_string()))
 }
 
-/// Writes frames to a stream and waits while the receiver has no room.
+/// Writes frames to a stream; waits while the receiver's flow-control window is full.
 pub struct FrameWriter {
     send: SendStream<Bytes>,
 }
 
 impl FrameWriter {
-    /// Makes a writer for a stream's sending side.
+    /// Wraps the sending half of a stream.
     pub fn new(send: SendStream<Bytes>) -> Self {
         FrameWriter { send }
     }
 
-    /// Sends a message.
+    /// Sends one message.
     pub async fn send<T: Serialize>(&mut self, message: &T) -> Result<()> {
         self.send_encoded(encode(message)?).await
     }
 
-    /// Sends a message and ends this direction.
+    /// Sends one message and ends this half of the stream.
     pub async fn send_last<T: Serialize>(&mut self, message: &T) -> Result<()> {
         self.send_parts(encode(message)?, true).await
     }
 
-    /// Sends frames that were encoded before.
+    /// Sends encoded frames.
     pub async fn send_encoded(&mut self, bytes: Bytes) -> Result<()> {
         self.send_parts(bytes, false).await
     }
 
-    /// Sends frames that were encoded before and ends this direction.
+    /// Sends encoded frames and ends this half of the stream.
     pub async fn send_encoded_last(&mut self, bytes: Bytes) -> Result<()> {
         self.send_parts(bytes, true).await
     }
 
     async fn send_parts(&mut self, mut bytes: Bytes, last: bool) -> Result<()> {
         while !bytes.is_empty() {
-            let room = self.room(bytes.len()).await?;
-            let part = bytes.split_to(room.min(bytes.len()));
+            let capacity = self.capacity(bytes.len()).await?;
+            let part = bytes.split_to(capacity.min(bytes.len()));
             self.send.send_data(part, last && bytes.is_empty()).map_err(h2_error)?;
         }
 
         Ok(())
     }
 
-    async fn room(&mut self, wanted: usize) -> Result<usize> {
+    async fn capacity(&mut self, wanted: usize) -> Result<usize> {
         self.send.reserve_capacity(wanted);
 
-        // The poll below reports growth only, so room that is there already is taken first.
+        // `poll_capacity` reports only increases, so capacity already assigned is used first.
         while self.send.capacity() == 0 {
             match poll_fn(|cx| self.send.poll_capacity(cx)).await {
                 Some(result) => result.map_err(h2_error)?,
-                None => return Err(closed()),
+                None => return Err(closed_error()),
             };
         }
 
         Ok(self.send.capacity())
     }
 
-    /// Completes when the other side has given the stream up.
+    /// Completes when the peer resets the stream.
     pub async fn cancelled(&mut self) {
         let _ = poll_fn(|cx| self.send.poll_reset(cx)).await;
     }
 }
 
-fn closed() -> Error {
+fn closed_error() -> Error {
     Error::Io(std::io::Error::new(std::io::ErrorKind::BrokenPipe, "the stream is closed"))
 }
 
-/// Reads frames from a stream and makes room for more as they are taken.
+/// Reads frames from a stream and returns flow-control capacity for the bytes it buffers.
 pub struct FrameReader {
     receive: RecvStream,
     buffer: BytesMut,
@@ -89,7 +92,7 @@
 }
 
 impl FrameReader {
-    /// Makes a reader for a stream's receiving side.
+    /// Wraps the receiving half of a stream.
     pub fn new(receive: RecvStream) -> Self {
         FrameReader { receive, buffer: BytesMut::new(), max_frame_bytes: MAX_FRAME_BYTES }
     }
@@ -102,14 +105,14 @@
             }
 
             match self.receive.data().await {
-                Some(data) => self.take_data(data.map_err(h2_error)?)?,
+                Some(data) => self.buffer_data(data.map_err(h2_error)?)?,
                 None if self.buffer.is_empty() => return Ok(None),
                 None => return protocol_error("the stream ends within a frame"),
             }
         }
     }
 
-    /// Reads the next message; the end of the stream is an error.
+    /// Reads the next message; the end of the stream is a protocol error.
     pub async fn next_required<T: DeserializeOwned>(&mut self) -> Result<T> {
         match self.next().await? {
             Some(message) => Ok(message),
@@ -117,7 +120,7 @@
         }
     }
 
-    fn take_data(&mut self, data: Bytes) -> Result<()> {
+    fn buffer_data(&mut self, data: Bytes) -> Result<()> {
         self.buffer.extend_from_slice(&data);
 
         self.receive.flow_control().release_capacity(data.len()).map_err(h2_error)
--- a/grebedeck-net/src/http/client.rs
+++ b/grebedeck-net/src/http/client.rs
@@ -1,4 +1,4 @@
-//! HTTP client with kept connections, for targets and the platform.
+//! HTTP client with keep-alive connections, for targets and the platform.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -11,48 +11,48 @@
 use http_types::headers::HeaderValues;
 use http_types::{Request, Response};
 
-/// Most idle connections that are kept.
-const MAX_IDLE: usize = 64;
+/// Maximum number of idle connections kept per client.
+const MAX_IDLE_CONNECTIONS: usize = 64;
 
-/// Client of one HTTP server.
+/// Client of one HTTP server; clones share the idle connections.
 #[derive(Clone)]
 pub struct HttpClient {
     address: SocketAddr,
-    connect_limit: Duration,
+    connect_timeout: Duration,
     idle: Arc<Mutex<Vec<TcpStream>>>,
 }
 
-/// An answer whose body is still to be read.
+/// A response whose body has not been read yet.
 pub struct StreamedResponse {
-    /// The answer's head; its body is read through [`StreamedResponse::read`].
+    /// Head of the response; [`StreamedResponse::read`] reads its body.
     pub response: Response,
     connection: TcpStream,
     client: HttpClient,
 }
 
-/// Where a request failed.
+/// Failure to send a request or to receive the head of its response.
 #[derive(Debug)]
 pub enum SendError {
-    /// No connection could be made, so the server got nothing.
+    /// No connection could be made, so the server received nothing and a retry is safe.
     NotSent(Error),
-    /// The server may have got the request.
+    /// The server may have received the request.
     MaybeSent(Error),
 }
 
 impl HttpClient {
-    /// Makes a client; it connects when it is first used.
-    pub fn new(address: SocketAddr, connect_limit: Duration) -> Self {
-        HttpClient { address, connect_limit, idle: Arc::default() }
+    /// Creates a client, which connects on first use.
+    pub fn new(address: SocketAddr, connect_timeout: Duration) -> Self {
+        HttpClient { address, connect_timeout, idle: Arc::default() }
     }
 
-    /// Gets the server's address.
+    /// Address of the server.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Sends a request and waits for the head of the answer.
+    /// Sends a request and waits for the head of the response; no time limit applies to the wait.
     pub async fn send(&self, request: Request) -> std::result::Result<StreamedResponse, SendError> {
-        let connection = match self.kept_connection() {
+        let connection = match self.idle_connection() {
             Some(connection) => connection,
             None => self.connect().await.map_err(SendError::NotSent)?,
         };
@@ -60,27 +60,28 @@
         let mut response = async_h1::connect(connection.clone(), request)
             .await
             .map_err(|e| SendError::MaybeSent(Error::Protocol(e.to_string())))?;
-        remove_made_up_date(&mut response);
+        remove_inserted_date(&mut response);
 
         Ok(StreamedResponse { response, connection, client: self.clone() })
     }
 
-    /// Sends a request and reads the whole answer, at most `max_bytes` of body, within `limit`.
+    /// Sends a request and reads the whole response within `time_limit`; the body may have at most
+    /// `max_bytes`. Returns the status and the body.
     pub async fn fetch(
         &self,
         request: Request,
         max_bytes: usize,
-        limit: Duration,
+        time_limit: Duration,
     ) -> Result<(u16, Vec<u8>)> {
-        let whole = async {
-            let answer = self.send(request).await.map_err(SendError::into_error)?;
-            let status = answer.response.status() as u16;
-            let body = answer.read_all(max_bytes).await?;
+        let exchange = async {
+            let streamed = self.send(request).await.map_err(SendError::into_error)?;
+            let status = streamed.response.status() as u16;
+            let body = streamed.read_all(max_bytes).await?;
 
             Ok((status, body))
         };
 
-        match async_std::future::timeout(limit, whole).await {
+        match async_std::future::timeout(time_limit, exchange).await {
             Ok(result) => result,
             Err(_) => timeout_error("an HTTP answer"),
         }
@@ -89,7 +90,7 @@
     async fn connect(&self) -> Result<TcpStream> {
         let connecting = TcpStream::connect(self.address);
 
-        match async_std::future::timeout(self.connect_limit, connecting).await {
+        match async_std::future::timeout(self.connect_timeout, connecting).await {
             Ok(connection) => {
                 let connection: TcpStream = connection?;
                 connection.set_nodelay(true)?;
@@ -99,7 +100,7 @@
         }
     }
 
-    fn kept_connection(&self) -> Option<TcpStream> {
+    fn idle_connection(&self) -> Option<TcpStream> {
         let mut idle = self.lock();
 
         while let Some(connection) = idle.pop() {
@@ -111,10 +112,10 @@
         None
     }
 
-    fn keep(&self, connection: TcpStream) {
+    fn release(&self, connection: TcpStream) {
         let mut idle = self.lock();
 
-        if idle.len() < MAX_IDLE {
+        if idle.len() < MAX_IDLE_CONNECTIONS {
             idle.push(connection);
         }
     }
@@ -125,7 +126,7 @@
 }
 
 impl SendError {
-    /// Gets the error itself.
+    /// The underlying error.
     pub fn into_error(self) -> Error {
         match self {
             SendError::NotSent(error) | SendError::MaybeSent(error) => error,
@@ -134,12 +135,12 @@
 }
 
 impl StreamedResponse {
-    /// Reads the next part of the body; 0 is its end.
+    /// Reads the next part of the body; returns 0 at its end.
     pub async fn read(&mut self, buffer: &mut [u8]) -> Result<usize> {
         Ok(self.response.read(buffer).await?)
     }
 
-    /// Reads the whole body, at most `max_bytes`, and keeps the connection for later.
+    /// Reads the whole body, at most `max_bytes`, and returns the connection for reuse.
     pub async fn read_all(mut self, max_bytes: usize) -> Result<Vec<u8>> {
         let mut body = Vec::new();
         (&mut self.response).take(max_bytes as u64 + 1).read_to_end(&mut body).await?;
@@ -152,30 +153,30 @@
         Ok(body)
     }
 
-    /// Keeps the connection for later; call it only after the body's end was read.
+    /// Returns the connection to the client for reuse. Call this only at the end of the body.
     pub fn finish(self) {
         let closes = self.response.header("connection").is_some_and(|v| v.as_str() == "close");
 
         if !closes {
-            self.client.keep(self.connection);
+            self.client.release(self.connection);
         }
     }
 }
 
-/// Removes the date that the library makes up where the server sends none: a line break stands in it, which would end
-/// the head of the answer early for whoever it is passed on to.
-fn remove_made_up_date(response: &mut Response) {
-    let is_made_up = |values: &HeaderValues| values.as_str().contains('\n');
+/// Removes the `date` header that the library inserts if the server sends none. The inserted value
+/// contains a line break, which would end the head early when the response is forwarded.
+fn remove_inserted_date(response: &mut Response) {
+    let is_inserted = |values: &HeaderValues| values.as_str().contains('\n');
 
-    if response.header("date").is_some_and(is_made_up) {
+    if response.header("date").is_some_and(is_inserted) {
         response.remove_header("date");
     }
 }
 
-/// Tells whether an idle connection still looks open.
+/// Whether an idle connection still appears open.
 fn is_open(connection: &TcpStream) -> bool {
     let mut byte = [0];
 
-    // A server that has closed, or has sent something unasked, is ready to be read.
+    // A connection that is closed or has unsolicited data is readable.
     connection.peek(&mut byte).now_or_never().is_none()
 }
--- a/grebedeck-net/src/lib.rs
+++ b/grebedeck-net/src/lib.rs
@@ -1,7 +1,8 @@
-//! Input and output: streams between grebedeck's processes, HTTP towards callers and targets, and
-//! clients of the platform.
+//! Network I/O: streams between Grebedeck processes, HTTP with callers and targets, and clients of
+//! the platform.
 //!
-//! Thin shells only. What is sent, and what follows from an answer, is decided elsewhere.
+//! This crate only transports messages. Other crates decide what to send and how to react to a
+//! response.
 
 #![forbid(unsafe_code)]
 
--- a/grebedeck-net/src/link.rs
+++ b/grebedeck-net/src/link.rs
@@ -1,4 +1,4 @@
-//! A connection to another process of grebedeck, shared by many streams.
+//! An HTTP/2 connection to another Grebedeck process, multiplexed among many streams.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,12 +16,12 @@
 use crate::frame::{FrameReader, FrameWriter, h2_error};
 use crate::wire::CountingStream;
 
-/// Window of one stream, in bytes: how much may be under way before the receiver reads it.
+/// Flow-control window of a stream: the most unread data that a peer may send.
 pub const STREAM_WINDOW_BYTES: u32 = 256 << 10;
-/// Window of a whole connection, in bytes.
+/// Flow-control window of a connection, shared by its streams.
 pub const CONNECTION_WINDOW_BYTES: u32 = 4 << 20;
 
-/// A connection to a peer.
+/// A connection to a peer; clones share it.
 #[derive(Clone)]
 pub struct Link {
     sender: SendRequest<Bytes>,
@@ -29,19 +29,19 @@
     id: u64,
 }
 
-/// One stream to a peer: a request's two directions.
+/// A bidirectional stream to a peer, carried by one HTTP/2 request.
 pub struct Stream {
-    /// The sending direction.
+    /// Writer of the sending half.
     pub writer: FrameWriter,
     response: ResponseFuture,
 }
 
 impl Stream {
-    /// Waits for the peer to take the stream, then gives its receiving direction.
+    /// Waits until the peer accepts the stream, then returns the reader of the receiving half.
     pub async fn reader(&mut self) -> Result<FrameReader> {
         let response = (&mut self.response).await.map_err(h2_error)?;
 
-        if response.status() != h2_status::OK {
+        if response.status() != status::OK {
             return grebedeck_core::error::protocol_error(format!(
                 "the peer refused the stream with status {}",
                 response.status()
@@ -52,16 +52,16 @@
     }
 }
 
-mod h2_status {
+mod status {
     pub const OK: ::http::StatusCode = ::http::StatusCode::OK;
 }
 
 static NEXT_LINK_ID: AtomicU64 = AtomicU64::new(0);
 
 impl Link {
-    /// Connects to a peer.
-    pub async fn connect(address: SocketAddr, limit: Duration) -> Result<Link> {
-        match timeout(limit, Self::handshake(address)).await {
+    /// Connects to a peer; TCP connect and HTTP/2 handshake must complete within `time_limit`.
+    pub async fn connect(address: SocketAddr, time_limit: Duration) -> Result<Link> {
+        match timeout(time_limit, Self::handshake(address)).await {
             Ok(link) => link,
             Err(_) => timeout_error("connecting to a peer"),
         }
@@ -82,7 +82,7 @@
         let on_close = closed.clone();
 
         async_std::task::spawn(async move {
-            // The error shows on every stream of the connection, which is where it matters.
+            // Every stream of the connection reports the error, so it is not handled here.
             let _ = connection.await;
             on_close.store(true, Ordering::Release);
         });
@@ -91,17 +91,17 @@
         Ok(Link { sender, closed, id })
     }
 
-    /// Tells whether the connection has ended.
+    /// Whether the connection has ended.
     pub fn is_closed(&self) -> bool {
         self.closed.load(Ordering::Acquire)
     }
 
-    /// Gets a number that no other link of this process has.
+    /// Identifier that is unique among the links of this process.
     pub fn id(&self) -> u64 {
         self.id
     }
 
-    /// Opens a stream for the given purpose.
+    /// Opens a stream; the path tells the peer what it is for.
     pub async fn open(&self, path: &'static str) -> Result<Stream> {
         let mut sender = self.sender.clone().ready().await.map_err(h2_error)?;
         let request = ::http::Request::post(format!("http://grebedeck{path}"))
--- a/grebedeck-net/src/platform.rs
+++ b/grebedeck-net/src/platform.rs
@@ -1,7 +1,7 @@
-//! The platform's interfaces, each a small trait, and their HTTP clients.
+//! The platform's interfaces, each as a small trait, with HTTP clients that implement them.
 //!
-//! The interfaces that are assumed here are described in `docs/PLATFORM.md`. To use a real
-//! platform, implement the traits; no decision depends on the clients in this module.
+//! `docs/PLATFORM.md` describes the interfaces that these clients expect. To integrate another
+//! platform, implement the traits; no decision logic depends on the clients in this module.
 
 pub mod engine;
 pub mod instances;
@@ -21,16 +21,16 @@
 
 use crate::http::HttpClient;
 
-/// Largest answer of the platform that is read, in bytes.
-pub const MAX_ANSWER_BYTES: usize = 16 << 20;
+/// Maximum body length of a platform response.
+pub const MAX_RESPONSE_BYTES: usize = 16 << 20;
 
-/// Sends JSON and reads JSON.
+/// Sends a request with an optional JSON body and parses the JSON response.
 async fn call<Q: Serialize, A: DeserializeOwned>(
     client: &HttpClient,
     method: Method,
     path: &str,
     body: Option<&Q>,
-    limit: Duration,
+    time_limit: Duration,
 ) -> Result<A> {
     let url = Url::parse(&format!("http://{}{path}", client.address()))
         .map_err(|e| Error::Protocol(e.to_string()))?;
@@ -42,14 +42,14 @@
         request.insert_header("content-type", "application/json");
     }
 
-    let (status, body) = client.fetch(request, MAX_ANSWER_BYTES, limit).await?;
+    let (status, body) = client.fetch(request, MAX_RESPONSE_BYTES, time_limit).await?;
 
     if !(200..300).contains(&status) {
         return platform_error(format!("{path} answered with status {status}"));
     }
 
     match serde_json::from_slice(&body) {
-        Ok(answer) => Ok(answer),
+        Ok(response) => Ok(response),
         Err(error) => protocol_error(format!("{path}: {error}")),
     }
 }
--- a/grebedeck-net/src/platform/engine.rs
+++ b/grebedeck-net/src/platform/engine.rs
@@ -1,4 +1,4 @@
-//! A model engine's control interface: counters out, fenced orders in.
+//! Control interface of a model engine: it reports its state and carries out fenced orders.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -12,74 +12,74 @@
 use super::call;
 use crate::http::HttpClient;
 
-/// Token counts of one layer since the engine started counting.
+/// Token counts of one layer since the engine started to count.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LayerTokens {
-    /// Tokens that this engine's ranks sent to each expert, ever.
+    /// Tokens that this engine's ranks have sent to each expert; never reset.
     pub tokens: Vec<u64>,
 }
 
-/// What an engine says of itself.
+/// State reported by an engine.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EngineState {
-    /// The next step, which has not begun.
+    /// The next step, which has not started.
     pub next_step: Step,
-    /// Text that names the map in use.
+    /// Version of the expert map in use.
     pub map_version: String,
-    /// The engine's ranks.
+    /// Ranks that this engine runs.
     pub ranks: Vec<Rank>,
-    /// Its count of the group's ranks.
+    /// Number of ranks in the group, as the engine knows it.
     pub group_ranks: Rank,
-    /// Experts that fit on one rank, by layer.
+    /// Number of experts that fit on one rank in each layer.
     pub slots_per_rank: u16,
-    /// Time its ranks took per token, relative to a normal rank.
+    /// Time per token of the engine's ranks, relative to a normal rank.
     pub rank_costs: Vec<f32>,
     /// Token counts by layer.
     pub layers: Vec<LayerTokens>,
 }
 
-/// An order to an engine with its fencing token.
+/// An order to an engine, with a fencing token.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EngineOrder {
-    /// The fencing token; an engine that checks orders refuses a lower one than it has seen.
+    /// Fencing token; an engine that checks orders rejects a token lower than one it has seen.
     pub epoch: Epoch,
-    /// What to do.
+    /// Action that the order demands.
     pub action: EngineAction,
 }
 
-/// What an engine can be told.
+/// Action of an order.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EngineAction {
-    /// Load the weights that a map needs, and answer when they are there.
+    /// Load the weights that a map needs, and respond once they are loaded.
     Load {
-        /// Text that names the map.
+        /// Version of the map.
         version: String,
-        /// The map.
+        /// The expert map.
         map: Value,
     },
-    /// Do not begin `at_step`.
+    /// Hold before `at_step`.
     HoldAt {
-        /// The first step that must not begin.
+        /// The first step that must not start.
         at_step: Step,
     },
-    /// Use a loaded map from `at_step` on, and hold no more.
+    /// Use a loaded map from `at_step` on, and release any hold.
     Use {
-        /// Text that names the map.
+        /// Version of the map.
         version: String,
-        /// The first step with the map.
+        /// The first step that uses the map.
         at_step: Step,
     },
-    /// Stay with the map in use, and hold no more.
+    /// Keep the map in use, and release any hold.
     Keep,
 }
 
-/// What an engine answers to an order.
+/// Response of an engine to an order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct EngineAnswer {
+pub struct EngineResponse {
     /// Whether the order was carried out.
     pub done: bool,
-    /// The next step, which has not begun.
+    /// The next step, which has not started.
     pub next_step: Step,
 }
 
@@ -88,30 +88,30 @@
     /// Reads the engine's state.
     fn state(&self) -> impl Future<Output = Result<EngineState>> + Send;
 
-    /// Gives an order.
-    fn order(&self, order: &EngineOrder) -> impl Future<Output = Result<EngineAnswer>> + Send;
+    /// Sends an order and returns the engine's response.
+    fn order(&self, order: &EngineOrder) -> impl Future<Output = Result<EngineResponse>> + Send;
 }
 
-/// Client of an engine's control interface over HTTP.
+/// HTTP client of an engine's control interface.
 #[derive(Clone)]
 pub struct HttpEngine {
     client: HttpClient,
-    limit: Duration,
+    time_limit: Duration,
 }
 
 impl HttpEngine {
-    /// Makes a client; each call may take at most `limit`.
-    pub fn new(address: SocketAddr, limit: Duration) -> Self {
-        HttpEngine { client: HttpClient::new(address, limit), limit }
+    /// Creates a client; `time_limit` applies to each call.
+    pub fn new(address: SocketAddr, time_limit: Duration) -> Self {
+        HttpEngine { client: HttpClient::new(address, time_limit), time_limit }
     }
 }
 
 impl Engine for HttpEngine {
     async fn state(&self) -> Result<EngineState> {
-        call::<(), _>(&self.client, Method::Get, "/engine/state", None, self.limit).await
+        call::<(), _>(&self.client, Method::Get, "/engine/state", None, self.time_limit).await
     }
 
-    async fn order(&self, order: &EngineOrder) -> Result<EngineAnswer> {
-        call(&self.client, Method::Post, "/engine/order", Some(order), self.limit).await
+    async fn order(&self, order: &EngineOrder) -> Result<EngineResponse> {
+        call(&self.client, Method::Post, "/engine/order", Some(order), self.time_limit).await
     }
 }
--- a/grebedeck-net/src/platform/instances.rs
+++ b/grebedeck-net/src/platform/instances.rs
@@ -1,4 +1,4 @@
-//! The platform's list of instances, which lags.
+//! The platform's list of instances, which lags behind the actual processes.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -11,65 +11,65 @@
 use super::call;
 use crate::http::HttpClient;
 
-/// What a process is for.
+/// Role of an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
-    /// Takes callers' requests.
+    /// Accepts callers' requests.
     Entry,
-    /// Stands beside a target.
+    /// Runs next to a target and passes requests to it.
     Agent,
 }
 
-/// Whether an instance stays.
+/// State of an instance in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum InstanceState {
-    /// It is in service.
+    /// The instance is in service.
     Live,
-    /// It will stop soon.
+    /// The instance is about to stop.
     Leaving,
 }
 
-/// One process on the list.
+/// One process in the list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Instance {
-    /// Its name.
+    /// Name of the instance.
     pub name: InstanceName,
-    /// Its role.
+    /// Role of the instance.
     pub role: Role,
-    /// Its hall.
+    /// Data hall in which the instance runs.
     pub hall: HallName,
-    /// Where it takes streams from its peers.
+    /// Address on which the instance accepts streams from peers.
     pub peer_address: SocketAddr,
-    /// Its life; a replacement has a higher one.
+    /// Incarnation of the instance; a replacement has a higher one.
     pub incarnation: Incarnation,
-    /// Whether it stays.
+    /// Whether the instance is in service or about to stop.
     pub state: InstanceState,
 }
 
 /// The platform's list of instances.
 pub trait InstanceList: Clone + Send + Sync + 'static {
-    /// Reads the list as the platform has it now.
+    /// Reads the platform's current list.
     fn read(&self) -> impl Future<Output = Result<Vec<Instance>>> + Send;
 }
 
-/// Client of the list over HTTP.
+/// HTTP client of the list.
 #[derive(Clone)]
 pub struct HttpInstances {
     client: HttpClient,
-    limit: Duration,
+    time_limit: Duration,
 }
 
 impl HttpInstances {
-    /// Makes a client; each call may take at most `limit`.
-    pub fn new(address: SocketAddr, limit: Duration) -> Self {
-        HttpInstances { client: HttpClient::new(address, limit), limit }
+    /// Creates a client; `time_limit` applies to each call.
+    pub fn new(address: SocketAddr, time_limit: Duration) -> Self {
+        HttpInstances { client: HttpClient::new(address, time_limit), time_limit }
     }
 }
 
 impl InstanceList for HttpInstances {
     async fn read(&self) -> Result<Vec<Instance>> {
-        call::<(), _>(&self.client, Method::Get, "/instances", None, self.limit).await
+        call::<(), _>(&self.client, Method::Get, "/instances", None, self.time_limit).await
     }
 }
--- a/grebedeck-net/src/platform/table.rs
+++ b/grebedeck-net/src/platform/table.rs
@@ -1,4 +1,4 @@
-//! The platform's transactional table service.
+//! The platform's transactional key-value table service.
 
 use std::collections::BTreeMap;
 use std::future::Future;
@@ -13,54 +13,54 @@
 use super::call;
 use crate::http::HttpClient;
 
-/// A value with the version of its last write; version 0 stands for no value.
+/// A value with the version of its last write; version 0 means that the key has no value.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Versioned {
-    /// The version, which each write of the key raises.
+    /// Version, which every write of the key increases.
     pub version: u64,
-    /// The value; `null` where there is none.
+    /// Value of the key; `null` if it has none.
     pub value: Value,
 }
 
-/// Writes that take effect together if every condition holds.
+/// Writes that take effect atomically if every condition holds.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Transaction {
-    /// Keys with the versions that they must have.
+    /// Required version of each key.
     pub conditions: BTreeMap<String, u64>,
-    /// Keys with their new values.
+    /// New value of each key.
     pub writes: BTreeMap<String, Value>,
 }
 
-/// How a transaction ended.
+/// Outcome of a transaction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TransactionEnd {
     /// All writes took effect.
     Written,
-    /// A condition did not hold; nothing was written.
+    /// A condition failed; nothing was written.
     Conflict,
 }
 
-/// The table service. Reads see every write that was answered before.
+/// The table service. A read sees every write that was acknowledged before it.
 pub trait Table: Clone + Send + Sync + 'static {
-    /// Reads some keys at one moment.
+    /// Reads several keys in one consistent snapshot.
     fn read(
         &self,
         keys: &[String],
     ) -> impl Future<Output = Result<BTreeMap<String, Versioned>>> + Send;
 
-    /// Writes; after an error it is not known whether the writes took effect.
+    /// Executes a transaction; after an error it is unknown whether the writes took effect.
     fn write(
         &self,
         transaction: &Transaction,
     ) -> impl Future<Output = Result<TransactionEnd>> + Send;
 }
 
-/// Client of the table service over HTTP.
+/// HTTP client of the table service.
 #[derive(Clone)]
 pub struct HttpTable {
     client: HttpClient,
-    limit: Duration,
+    time_limit: Duration,
 }
 
 #[derive(Serialize)]
@@ -69,35 +69,37 @@
 }
 
 #[derive(Deserialize)]
-struct ReadAnswer {
+struct ReadResponse {
     values: BTreeMap<String, Versioned>,
 }
 
 #[derive(Deserialize)]
-struct WriteAnswer {
+struct WriteResponse {
     end: TransactionEnd,
 }
 
 impl HttpTable {
-    /// Makes a client; each call may take at most `limit`.
-    pub fn new(address: SocketAddr, limit: Duration) -> Self {
-        HttpTable { client: HttpClient::new(address, limit), limit }
+    /// Creates a client; `time_limit` applies to each call.
+    pub fn new(address: SocketAddr, time_limit: Duration) -> Self {
+        HttpTable { client: HttpClient::new(address, time_limit), time_limit }
     }
 }
 
 impl Table for HttpTable {
     async fn read(&self, keys: &[String]) -> Result<BTreeMap<String, Versioned>> {
         let request = ReadRequest { keys };
-        let answer: ReadAnswer =
-            call(&self.client, Method::Post, "/table/read", Some(&request), self.limit).await?;
+        let response: ReadResponse =
+            call(&self.client, Method::Post, "/table/read", Some(&request), self.time_limit)
+                .await?;
 
-        Ok(answer.values)
+        Ok(response.values)
     }
 
     async fn write(&self, transaction: &Transaction) -> Result<TransactionEnd> {
-        let answer: WriteAnswer =
-            call(&self.client, Method::Post, "/table/write", Some(transaction), self.limit).await?;
+        let response: WriteResponse =
+            call(&self.client, Method::Post, "/table/write", Some(transaction), self.time_limit)
+                .await?;
 
-        Ok(answer.end)
+        Ok(response.end)
     }
 }
--- a/grebedeck-net/src/pool.rs
+++ b/grebedeck-net/src/pool.rs
@@ -1,4 +1,4 @@
-//! One link per peer, made when it is first needed and again after it broke.
+//! Pool with one link per peer, connected on first use and reconnected after it closes.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -14,43 +14,43 @@
 /// Links by peer address.
 #[derive(Clone)]
 pub struct LinkPool {
-    connect_limit: Duration,
+    connect_timeout: Duration,
     slots: Arc<std::sync::Mutex<HashMap<SocketAddr, Slot>>>,
 }
 
 impl LinkPool {
-    /// Makes an empty pool.
-    pub fn new(connect_limit: Duration) -> Self {
-        LinkPool { connect_limit, slots: Arc::default() }
+    /// Creates an empty pool; `connect_timeout` applies to each attempt to connect.
+    pub fn new(connect_timeout: Duration) -> Self {
+        LinkPool { connect_timeout, slots: Arc::default() }
     }
 
-    /// Gets the link to a peer; concurrent callers share one attempt to connect.
+    /// Returns the link to a peer; concurrent callers share one attempt to connect.
     pub async fn link(&self, address: SocketAddr) -> Result<Link> {
         let slot = self.slot(address);
-        let mut held = slot.lock().await;
+        let mut link_slot = slot.lock().await;
 
-        if let Some(link) = held.as_ref().filter(|l| !l.is_closed()) {
+        if let Some(link) = link_slot.as_ref().filter(|l| !l.is_closed()) {
             return Ok(link.clone());
         }
 
-        *held = None;
-        let link = Link::connect(address, self.connect_limit).await?;
-        *held = Some(link.clone());
+        *link_slot = None;
+        let link = Link::connect(address, self.connect_timeout).await?;
+        *link_slot = Some(link.clone());
 
         Ok(link)
     }
 
-    /// Gets the number of peers that a link is kept for.
+    /// Number of peers in the pool.
     pub fn len(&self) -> usize {
         self.lock().len()
     }
 
-    /// Tells whether no link is kept.
+    /// Whether the pool has no peers.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Drops the links to peers that are no longer wanted; streams under way go on.
+    /// Drops the links to peers for which `keep` is false; their open streams continue.
     pub fn retain(&self, keep: impl Fn(&SocketAddr) -> bool) {
         self.lock().retain(|address, _| keep(address));
     }
@@ -60,7 +60,7 @@
     }
 
     fn lock(&self) -> std::sync::MutexGuard<'_, HashMap<SocketAddr, Slot>> {
-        // The map is left whole by every holder, so a poisoned lock is still good.
+        // No holder leaves the map inconsistent, so a poisoned lock is still usable.
         self.slots.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 }
--- a/grebedeck-net/src/wire.rs
+++ b/grebedeck-net/src/wire.rs
@@ -1,4 +1,4 @@
-//! Counting the bytes between grebedeck's processes, as they leave and enter the sockets.
+//! Counters of the bytes that this process exchanges with its peers, taken at the sockets.
 
 use std::io;
 use std::pin::Pin;
@@ -11,23 +11,23 @@
 static SENT_BYTES: AtomicU64 = AtomicU64::new(0);
 static RECEIVED_BYTES: AtomicU64 = AtomicU64::new(0);
 
-/// Gets the bytes that this process has sent to its peers.
+/// Bytes sent to peers since the process started.
 pub fn sent_bytes() -> u64 {
     SENT_BYTES.load(Ordering::Relaxed)
 }
 
-/// Gets the bytes that this process has received from its peers.
+/// Bytes received from peers since the process started.
 pub fn received_bytes() -> u64 {
     RECEIVED_BYTES.load(Ordering::Relaxed)
 }
 
-/// A connection to a peer whose bytes are counted.
+/// A TCP stream to a peer that adds its traffic to the counters.
 pub struct CountingStream {
     tcp: TcpStream,
 }
 
 impl CountingStream {
-    /// Counts the bytes of a connection from now on.
+    /// Wraps a TCP stream.
     pub fn new(tcp: TcpStream) -> Self {
         CountingStream { tcp }
     }
