--- a/grebedeck-http/src/body.rs
+++ b/grebedeck-http/src/body.rs
@@ -1,27 +1,30 @@
-//! Where a body ends, and taking it out of a connection's bytes.
+//! Framing of bodies: where a body ends, and decoding it from a connection's bytes.
+//!
+//! A message whose framing is ambiguous is rejected, as two parties that disagree on where it ends
+//! would read different messages from the same connection (request smuggling).
 
 use bytes::{Buf, Bytes, BytesMut};
 
 use crate::error::{HttpError, Result};
 use crate::head::{Headers, RequestHead, ResponseHead};
 
-/// Longest line with a chunk's length or a trailer, in bytes.
+/// Maximum length of a chunk-size line or trailer line.
 const MAX_LINE_BYTES: usize = 4096;
 
-/// How the end of a body is found.
+/// How the end of a body is determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
-    /// There is no body.
+    /// The message has no body.
     Empty,
-    /// The body has a known length in bytes.
+    /// The body has this many bytes.
     Length(u64),
-    /// The body comes in chunks with an end mark.
+    /// The body uses chunked transfer encoding.
     Chunked,
-    /// The body ends with its connection.
+    /// The body ends when the peer closes the connection.
     UntilClose,
 }
 
-/// Gets how a request's body ends; a head that could be understood in two ways is refused.
+/// Framing of a request's body; ambiguous framing is an error.
 pub fn request_framing(head: &RequestHead) -> Result<Framing> {
     let length = content_length(&head.headers)?;
 
@@ -34,7 +37,7 @@
     }
 }
 
-/// Gets how a response's body ends.
+/// Framing of the body of a response to a request with the given method.
 pub fn response_framing(head: &ResponseHead, request_method: &str) -> Result<Framing> {
     if request_method == "HEAD" || head.status < 200 || matches!(head.status, 204 | 304) {
         return Ok(Framing::Empty);
@@ -60,7 +63,7 @@
         return Err(HttpError::Malformed("two lengths"));
     }
 
-    // `parse` would also take a sign.
+    // `parse` would also accept a sign.
     let text = std::str::from_utf8(first).ok().filter(|t| t.bytes().all(|b| b.is_ascii_digit()));
     let length = text.and_then(|t| t.parse().ok());
 
@@ -77,14 +80,14 @@
     }
 }
 
-/// What a decoder found at the front of a buffer.
+/// Result of a decoding step.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Decoded {
     /// The next part of the body.
     Data(Bytes),
-    /// More bytes are needed.
+    /// More bytes are needed before anything can be decoded.
     NeedMore,
-    /// The body is whole.
+    /// The body is complete.
     End,
 }
 
@@ -99,14 +102,14 @@
     Ended,
 }
 
-/// Takes one body out of a connection's bytes, and leaves what follows it.
+/// Decodes one body from a connection's bytes; leaves the bytes after it in the buffer.
 #[derive(Clone, Debug)]
 pub struct BodyDecoder {
     state: State,
 }
 
 impl BodyDecoder {
-    /// Makes a decoder.
+    /// Creates a decoder for a body with this framing.
     pub fn new(framing: Framing) -> Self {
         let state = match framing {
             Framing::Empty | Framing::Length(0) => State::Ended,
@@ -118,21 +121,23 @@
         BodyDecoder { state }
     }
 
-    /// Takes the next part from the front of the buffer.
+    /// Removes the next part of the body from the front of the buffer.
     pub fn decode(&mut self, buffer: &mut BytesMut) -> Result<Decoded> {
         loop {
             match self.state {
                 State::Ended => return Ok(Decoded::End),
                 _ if buffer.is_empty() => return Ok(Decoded::NeedMore),
-                State::Length(left) => {
-                    let (data, left) = take_data(buffer, left);
-                    self.state = if left == 0 { State::Ended } else { State::Length(left) };
+                State::Length(remaining) => {
+                    let (data, remaining) = split_data(buffer, remaining);
+                    self.state =
+                        if remaining == 0 { State::Ended } else { State::Length(remaining) };
                     return Ok(Decoded::Data(data));
                 }
                 State::UntilClose => return Ok(Decoded::Data(buffer.split().freeze())),
-                State::ChunkData(left) => {
-                    let (data, left) = take_data(buffer, left);
-                    self.state = if left == 0 { State::ChunkEnd } else { State::ChunkData(left) };
+                State::ChunkData(remaining) => {
+                    let (data, remaining) = split_data(buffer, remaining);
+                    self.state =
+                        if remaining == 0 { State::ChunkEnd } else { State::ChunkData(remaining) };
                     return Ok(Decoded::Data(data));
                 }
                 State::ChunkSize | State::ChunkEnd | State::Trailers => {
@@ -145,21 +150,21 @@
         }
     }
 
-    /// Tells whether the body is whole if the peer closes the connection properly now.
+    /// Whether the body is complete if the peer closes the connection in order now.
     pub fn ends_with_connection(&self) -> bool {
         matches!(self.state, State::UntilClose | State::Ended)
     }
 
-    /// Gets the length of what is still to come, in bytes, where it is known.
+    /// Number of bytes still to come, if known in advance.
     pub fn remaining_bytes(&self) -> Option<usize> {
         match self.state {
-            State::Length(left) => Some(usize::try_from(left).unwrap_or(usize::MAX)),
+            State::Length(remaining) => Some(usize::try_from(remaining).unwrap_or(usize::MAX)),
             State::Ended => Some(0),
             _ => None,
         }
     }
 
-    /// Tells whether the body is whole.
+    /// Whether the body has been decoded completely.
     pub fn is_complete(&self) -> bool {
         self.state == State::Ended
     }
@@ -178,10 +183,10 @@
     }
 }
 
-fn take_data(buffer: &mut BytesMut, left: u64) -> (Bytes, u64) {
-    let length = buffer.len().min(usize::try_from(left).unwrap_or(usize::MAX));
+fn split_data(buffer: &mut BytesMut, remaining: u64) -> (Bytes, u64) {
+    let length = buffer.len().min(usize::try_from(remaining).unwrap_or(usize::MAX));
 
-    (buffer.split_to(length).freeze(), left - length as u64)
+    (buffer.split_to(length).freeze(), remaining - length as u64)
 }
 
 fn take_line(buffer: &mut BytesMut) -> Result<Option<BytesMut>> {
@@ -212,7 +217,7 @@
     }
 }
 
-/// Writes one chunk; an empty one would end the body and is left out.
+/// Appends one chunk. Empty data is skipped, as an empty chunk would end the body.
 pub fn write_chunk(data: &[u8], out: &mut Vec<u8>) {
     if data.is_empty() {
         return;
--- a/grebedeck-http/src/client.rs
+++ b/grebedeck-http/src/client.rs
@@ -1,4 +1,4 @@
-//! A client for short calls to one address, over kept connections.
+//! Client for short calls to one address over keep-alive connections.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -11,70 +11,71 @@
 use crate::error::{HttpError, Result};
 use crate::head::{Headers, RequestHead, ResponseHead};
 
-/// Longest head of an answer, in bytes.
+/// Maximum length of a response's head.
 const MAX_HEAD_BYTES: usize = 64 << 10;
-/// Largest body of an answer, in bytes: a configuration with its organisations fits several times.
+/// Maximum length of a response's body: several times that of a large configuration.
 const MAX_BODY_BYTES: usize = 32 << 20;
-/// Connections that are kept: one for a watch and one for other calls.
-const KEPT_CONNECTIONS: usize = 2;
+/// Maximum number of idle connections: one for a watch request and one for other calls.
+const MAX_IDLE_CONNECTIONS: usize = 2;
 
-/// An answer, whole.
+/// A complete response.
 #[derive(Clone, Debug)]
 pub struct Response {
-    /// Its head.
+    /// Head of the response.
     pub head: ResponseHead,
-    /// Its body.
+    /// Body of the response.
     pub body: Vec<u8>,
 }
 
 /// A client of one address.
 pub struct Client {
     address: SocketAddr,
-    silence_limit: Duration,
-    kept: RefCell<Vec<Connection>>,
+    silence_timeout: Duration,
+    idle: RefCell<Vec<Connection>>,
 }
 
 impl Client {
-    /// Makes a client. `silence_limit` is how long a connection may take to be made, and how long an answer that has
-    /// begun may stop for.
-    pub fn new(address: SocketAddr, silence_limit: Duration) -> Self {
-        Client { address, silence_limit, kept: RefCell::default() }
+    /// Creates a client. `silence_timeout` limits the time to connect, and each pause within the
+    /// body of a response.
+    pub fn new(address: SocketAddr, silence_timeout: Duration) -> Self {
+        Client { address, silence_timeout, idle: RefCell::default() }
     }
 
-    /// Gets the address.
+    /// Address of the server.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Asks for a path; the answer's head has to come within `limit`. A kept connection that turns out to be closed
-    /// is replaced once, which a request that changes nothing allows.
-    pub async fn get(&self, path: &str, limit: Duration) -> Result<Response> {
+    /// Sends a GET request; the response's head must arrive within `time_limit`. If a kept
+    /// connection fails, the request is retried once on a new one, which is safe as GET changes
+    /// nothing. A time-out is not retried.
+    pub async fn get(&self, path: &str, time_limit: Duration) -> Result<Response> {
         let head = self.head("GET", path);
 
-        match self.send_kept(&head, &[], limit).await {
-            Some(Ok(answer)) => Ok(answer),
+        match self.send_kept(&head, &[], time_limit).await {
+            Some(Ok(response)) => Ok(response),
             Some(Err(HttpError::TimedOut)) => Err(HttpError::TimedOut),
-            Some(Err(_)) | None => self.send_new(&head, &[], limit).await,
+            Some(Err(_)) | None => self.send_new(&head, &[], time_limit).await,
         }
     }
 
-    /// Sends a body; the answer's head has to come within `limit`. After an error it is not known whether the
-    /// request took effect.
+    /// Sends a request with a body; the response's head must arrive within `time_limit`. After an
+    /// error it is unknown whether the request took effect.
     pub async fn send(
         &self,
         method: &str,
         path: &str,
         content_type: &str,
         body: &[u8],
-        limit: Duration,
+        time_limit: Duration,
     ) -> Result<Response> {
         let mut head = self.head(method, path);
         head.headers.push("content-type", content_type);
         head.headers.push("content-length", body.len().to_string());
 
-        match self.send_kept(&head, body, limit).await {
-            Some(answer) => answer,
-            None => self.send_new(&head, body, limit).await,
+        match self.send_kept(&head, body, time_limit).await {
+            Some(response) => response,
+            None => self.send_new(&head, body, time_limit).await,
         }
     }
 
@@ -85,26 +86,31 @@
         RequestHead { method: method.into(), target: path.into(), minor_version: 1, headers }
     }
 
-    /// Sends on a kept connection, or gives `None` where there is none that is open and quiet.
+    /// Sends on a kept connection; returns `None` if none of them is idle and open.
     async fn send_kept(
         &self,
         head: &RequestHead,
         body: &[u8],
-        limit: Duration,
+        time_limit: Duration,
     ) -> Option<Result<Response>> {
         loop {
-            let mut connection = self.kept.borrow_mut().pop()?;
+            let mut connection = self.idle.borrow_mut().pop()?;
 
             if connection.is_idle() {
-                return Some(self.send_on(connection, head, body, limit).await);
+                return Some(self.send_on(connection, head, body, time_limit).await);
             }
         }
     }
 
-    async fn send_new(&self, head: &RequestHead, body: &[u8], limit: Duration) -> Result<Response> {
-        let connection = Connection::connect(self.address, self.silence_limit).await?;
+    async fn send_new(
+        &self,
+        head: &RequestHead,
+        body: &[u8],
+        time_limit: Duration,
+    ) -> Result<Response> {
+        let connection = Connection::connect(self.address, self.silence_timeout).await?;
 
-        self.send_on(connection, head, body, limit).await
+        self.send_on(connection, head, body, time_limit).await
     }
 
     async fn send_on(
@@ -112,23 +118,25 @@
         mut connection: Connection,
         head: &RequestHead,
         body: &[u8],
-        limit: Duration,
+        time_limit: Duration,
     ) -> Result<Response> {
-        let begun = begin(&mut connection, head, body);
-        let head_and_decoder = timeout(limit, begun).await.unwrap_or(Err(HttpError::TimedOut))?;
-        let answer = self.read_body(&mut connection, head_and_decoder).await?;
-
-        if answer.head.keeps_alive() {
-            let mut kept = self.kept.borrow_mut();
-            kept.push(connection);
-            kept.truncate(KEPT_CONNECTIONS);
+        let exchange = send_and_read_head(&mut connection, head, body);
+        let head_and_decoder =
+            timeout(time_limit, exchange).await.unwrap_or(Err(HttpError::TimedOut))?;
+        let response = self.read_body(&mut connection, head_and_decoder).await?;
+
+        if response.head.keeps_alive() {
+            let mut idle = self.idle.borrow_mut();
+            idle.push(connection);
+            idle.truncate(MAX_IDLE_CONNECTIONS);
         }
 
-        Ok(answer)
+        Ok(response)
     }
 
-    /// Reads a body for as long as it goes on. A limit on the whole would be one on its size: with one of 0.4 s a
-    /// configuration of 1,500 routes never came through over a link of 8 Mbit/s, however often it was asked for.
+    /// Reads a body without a limit on the total time, which would limit its size on a slow link:
+    /// with one of 0.4 s, a configuration of 1,500 routes never arrives over a link of 8 Mbit/s,
+    /// however often it is requested.
     async fn read_body(
         &self,
         connection: &mut Connection,
@@ -137,7 +145,7 @@
         let mut body = Vec::new();
 
         loop {
-            let next = timeout(self.silence_limit, connection.read_body(&mut decoder)).await;
+            let next = timeout(self.silence_timeout, connection.read_body(&mut decoder)).await;
 
             match next.unwrap_or(Err(HttpError::TimedOut))? {
                 None => return Ok(Response { head, body }),
@@ -150,8 +158,8 @@
     }
 }
 
-/// Sends a request and reads the head of its answer.
-async fn begin(
+/// Sends a request and reads the head of the response.
+async fn send_and_read_head(
     connection: &mut Connection,
     request: &RequestHead,
     request_body: &[u8],
--- a/grebedeck-http/src/connection.rs
+++ b/grebedeck-http/src/connection.rs
@@ -1,9 +1,10 @@
-//! A TCP connection with the bytes that were read and not yet taken.
+//! A TCP connection with a buffer of the bytes that were read but not consumed.
 //!
-//! An orderly close delivers what still waits on its way: a target that was frozen or cut off would read a request
-//! whose caller left seconds ago. So a connection with an exchange under way is reset when it is dropped, and also
-//! when the process ends: the system is told as the first exchange begins, and told otherwise before an orderly
-//! close. That takes no call for each exchange.
+//! A graceful close still delivers data in flight: a target that was frozen or unreachable would
+//! later read a request whose caller disconnected seconds ago. Therefore a connection with an
+//! exchange in progress is reset when it is dropped or when the process ends. To avoid a system
+//! call per exchange, the reset is configured on the socket when the first exchange begins, and
+//! removed only before a graceful close.
 
 use std::future::poll_fn;
 use std::net::SocketAddr;
@@ -22,87 +23,94 @@
 use crate::error::{HttpError, Result};
 use crate::head::{RequestHead, ResponseHead};
 
-/// Bytes asked for in one read: enough for a head or some events, small enough for many
+/// Maximum length of one read: enough for a head or several events, small enough for many
 /// connections.
-const READ_BYTES: usize = 4096;
+const MAX_READ_BYTES: usize = 4096;
 
-/// Longest body that is copied behind its head, in bytes: below it, a copy is cheaper than another call.
+/// Maximum length of a body that is copied behind its head, as a copy up to this length is cheaper
+/// than another system call.
 pub const MAX_COALESCED_BODY_BYTES: usize = 16 << 10;
 
-/// How long bytes may stay without an acknowledgement, and a peer that sends nothing without a sign of life. A
-/// connection may go silent for good without a reset, or its peer's machine lose power; without this limit a
-/// request on it waits until its own time is over. Two lost packets in a row take some 0.6 s to be sent again, and
-/// callers leave a stream that is silent for two seconds.
+/// Time limit for the acknowledgement of sent data, and idle time after which a peer is probed.
+///
+/// A connection may fall silent without a reset, for example when the peer's machine loses power;
+/// without this limit, a request on it would wait until its own deadline. Retransmission after two
+/// consecutive lost packets takes about 0.6 s, and callers abandon a stream after two seconds of
+/// silence, so the limit lies between the two.
 pub const SILENCE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A connection.
+/// A TCP connection with its read buffer.
 pub struct Connection {
     stream: TcpStream,
     buffer: BytesMut,
-    closing: Closing,
+    close_mode: CloseMode,
 }
 
-/// How a connection ends when it is dropped.
+/// How a connection is closed when it is dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Closing {
-    /// In order, as the system does without being told.
-    InOrder,
-    /// In order, and the system has to be told so.
-    InOrderAgain,
-    /// By a reset: an exchange is under way.
+enum CloseMode {
+    /// Gracefully; the socket has its default options.
+    Graceful,
+    /// Gracefully; the socket is set to reset, which has to be undone first.
+    RestoreGraceful,
+    /// By a reset, because an exchange is in progress.
     Reset,
 }
 
 impl Connection {
-    /// Takes over a stream that was accepted.
+    /// Wraps an accepted stream.
     pub fn new(stream: TcpStream) -> Self {
-        // Without this, small writes wait for the peer's delayed acknowledgement.
+        // With Nagle's algorithm, small writes would wait for the peer's delayed acknowledgement.
         let _ = stream.set_nodelay(true);
 
-        Connection { stream, buffer: BytesMut::new(), closing: Closing::InOrder }
+        Connection { stream, buffer: BytesMut::new(), close_mode: CloseMode::Graceful }
     }
 
-    /// Connects to an address. The connection fails where the peer is silent for [`SILENCE_TIMEOUT`].
-    pub async fn connect(address: SocketAddr, limit: Duration) -> Result<Self> {
-        let stream = match timeout(limit, TcpStream::connect(address)).await {
+    /// Connects to an address within `time_limit`. The connection later fails if the peer is silent
+    /// for longer than [`SILENCE_TIMEOUT`] allows.
+    pub async fn connect(address: SocketAddr, time_limit: Duration) -> Result<Self> {
+        let stream = match timeout(time_limit, TcpStream::connect(address)).await {
             Ok(stream) => stream?,
             Err(_) => return Err(HttpError::TimedOut),
         };
-        limit_silence(&stream).map_err(std::io::Error::from)?;
+        set_silence_timeout(&stream).map_err(std::io::Error::from)?;
 
         Ok(Connection::new(stream))
     }
 
-    /// Notes that a request is about to be sent: from here on the connection is reset when it is dropped.
+    /// Marks the start of an exchange, before the request is sent; until its end, dropping the
+    /// connection resets it.
     pub fn begin_exchange(&mut self) -> Result<()> {
-        if self.closing == Closing::InOrder {
-            set_reset(&self.stream, true).map_err(std::io::Error::from)?;
+        if self.close_mode == CloseMode::Graceful {
+            set_reset_on_close(&self.stream, true).map_err(std::io::Error::from)?;
         }
 
-        self.closing = Closing::Reset;
+        self.close_mode = CloseMode::Reset;
         Ok(())
     }
 
-    /// Notes that the answer was read whole: the connection is closed in order again.
+    /// Marks the end of an exchange, after the response is read; dropping the connection closes it
+    /// gracefully again.
     pub fn end_exchange(&mut self) {
-        if self.closing == Closing::Reset {
-            self.closing = Closing::InOrderAgain;
+        if self.close_mode == CloseMode::Reset {
+            self.close_mode = CloseMode::RestoreGraceful;
         }
     }
 
-    /// Gets the bytes that were read and not yet taken.
+    /// Bytes that were read but not consumed.
     pub fn buffer(&mut self) -> &mut BytesMut {
         &mut self.buffer
     }
 
-    /// Reads what is there, or waits for more; 0 means that the peer closed its side.
+    /// Reads available data into the buffer, waiting if there is none; returns its length, or 0 if
+    /// the peer closed its side.
     ///
-    /// Giving up while it waits loses nothing: bytes are in the buffer as soon as they are read.
+    /// Cancel-safe: data is in the buffer as soon as it is read, so dropping the future loses none.
     pub async fn read_more(&mut self) -> Result<usize> {
         let Connection { stream, buffer, .. } = self;
 
         let read = poll_fn(|cx| {
-            let mut bytes = [0; READ_BYTES];
+            let mut bytes = [0; MAX_READ_BYTES];
             let read = ready!(Pin::new(&mut &*stream).poll_read(cx, &mut bytes));
             buffer.extend_from_slice(&bytes[..read.as_ref().copied().unwrap_or(0)]);
             Poll::Ready(read)
@@ -111,7 +119,7 @@
         Ok(read.await?)
     }
 
-    /// Reads a request's head.
+    /// Reads the head of a request; fails if `max_bytes` are buffered without a complete head.
     pub async fn read_request_head(&mut self, max_bytes: usize) -> Result<RequestHead> {
         loop {
             if let Some(head) = RequestHead::parse(&mut self.buffer)? {
@@ -122,7 +130,7 @@
         }
     }
 
-    /// Reads a response's head.
+    /// Reads the head of a response; fails if `max_bytes` are buffered without a complete head.
     pub async fn read_response_head(&mut self, max_bytes: usize) -> Result<ResponseHead> {
         loop {
             if let Some(head) = ResponseHead::parse(&mut self.buffer)? {
@@ -161,7 +169,7 @@
         }
     }
 
-    /// Reads a whole body.
+    /// Reads the rest of a body, of at most `max_bytes`.
     pub async fn read_whole(
         &mut self,
         decoder: &mut BodyDecoder,
@@ -187,12 +195,14 @@
         Ok(())
     }
 
-    /// Writes what the system takes at once, or waits until it takes something; gives the length of it.
+    /// Writes as much as the socket accepts, waiting if it accepts nothing; returns the length
+    /// written.
     pub async fn write_some(&self, bytes: &[u8]) -> Result<usize> {
         Ok((&self.stream).write(bytes).await?)
     }
 
-    /// Writes a head and its body. A short body goes in one packet with the head; a long one is not copied.
+    /// Writes a head and its body: a body of up to [`MAX_COALESCED_BODY_BYTES`] in one write with
+    /// the head, a longer one without copying it.
     pub async fn write_message(&self, mut head: Vec<u8>, body: &[u8]) -> Result<()> {
         if body.len() <= MAX_COALESCED_BODY_BYTES {
             head.extend_from_slice(body);
@@ -203,15 +213,16 @@
         self.write_all(body).await
     }
 
-    /// Limits what the system keeps for this side until it is read, in bytes; the peer is held up beyond it.
+    /// Limits the kernel's receive buffer, in bytes; once it is full, the peer cannot send more.
     pub fn limit_receive_buffer(&self, bytes: usize) -> Result<()> {
         limit_receive_buffer(&self.stream, bytes)
     }
 
-    /// Completes when the peer has closed the connection.
+    /// Completes when the peer closes the connection.
     ///
-    /// Bytes that come meanwhile are kept for the next message. Beyond `max_bytes` of them nothing
-    /// more is read, and a close behind them shows only when they have been taken.
+    /// Data that arrives meanwhile is buffered for the next message. Once the buffer holds
+    /// `max_bytes`, nothing more is read, so a later close remains undetected until the buffer is
+    /// consumed.
     pub async fn wait_closed(&mut self, max_bytes: usize) {
         while self.buffer.len() < max_bytes {
             match self.read_more().await {
@@ -223,12 +234,12 @@
         futures::future::pending().await
     }
 
-    /// Tells whether the connection is open and nothing was sent on it that nobody asked for.
+    /// Whether the connection is open, without an error and without unsolicited data.
     pub fn is_idle(&mut self) -> bool {
         self.buffer.is_empty() && self.read_more().now_or_never().is_none()
     }
 
-    /// Gets another handle to write with.
+    /// Another handle to the stream, for writing.
     pub fn writer(&self) -> TcpStream {
         self.stream.clone()
     }
@@ -236,33 +247,33 @@
 
 impl Drop for Connection {
     fn drop(&mut self) {
-        if self.closing == Closing::InOrderAgain {
-            // It fails only where there is no connection any more, and then nothing is left to close.
-            let _ = set_reset(&self.stream, false);
+        if self.close_mode == CloseMode::RestoreGraceful {
+            // This fails only if the connection no longer exists, so there is nothing to close.
+            let _ = set_reset_on_close(&self.stream, false);
         }
     }
 }
 
-/// Limits what the system keeps of a connection until this side reads it, in bytes.
+/// Limits the kernel's receive buffer of a socket, in bytes.
 fn limit_receive_buffer(stream: impl AsFd, bytes: usize) -> Result<()> {
     Ok(sockopt::set_socket_recv_buffer_size(stream, bytes).map_err(std::io::Error::from)?)
 }
 
-/// Limits what the system keeps of each connection that is accepted, until this side or the peer reads it, in
-/// bytes.
+/// Limits the kernel's receive and send buffers of each connection that the listener accepts, in
+/// bytes each.
 pub fn limit_accepted_buffers(listener: &TcpListener, bytes: usize) -> Result<()> {
     limit_receive_buffer(listener, bytes)?;
 
     Ok(sockopt::set_socket_send_buffer_size(listener, bytes).map_err(std::io::Error::from)?)
 }
 
-/// Tells the system whether closing the stream resets it.
-fn set_reset(stream: &TcpStream, resets: bool) -> rustix::io::Result<()> {
-    sockopt::set_socket_linger(stream, resets.then_some(Duration::ZERO))
+/// Sets whether closing the socket resets the connection.
+fn set_reset_on_close(stream: &TcpStream, enabled: bool) -> rustix::io::Result<()> {
+    sockopt::set_socket_linger(stream, enabled.then_some(Duration::ZERO))
 }
 
-/// Has the system probe a peer that sends nothing, and give a connection up whose bytes are not acknowledged.
-fn limit_silence(stream: &TcpStream) -> rustix::io::Result<()> {
+/// Enables keepalive probes and the time limit for acknowledgements, both by [`SILENCE_TIMEOUT`].
+fn set_silence_timeout(stream: &TcpStream) -> rustix::io::Result<()> {
     sockopt::set_socket_keepalive(stream, true)?;
     sockopt::set_tcp_keepidle(stream, SILENCE_TIMEOUT)?;
     sockopt::set_tcp_keepintvl(stream, SILENCE_TIMEOUT)?;
--- a/grebedeck-http/src/error.rs
+++ b/grebedeck-http/src/error.rs
@@ -1,35 +1,35 @@
-//! What can go wrong with a message or its connection.
+//! Errors of messages and connections.
 
 use thiserror::Error as ThisError;
 
-/// Result with the crate's error type.
+/// Result with [`HttpError`].
 pub type Result<T> = std::result::Result<T, HttpError>;
 
-/// A message that cannot be read or written.
+/// Failure to read or write a message.
 #[derive(Debug, ThisError)]
 pub enum HttpError {
-    /// The connection failed.
+    /// An I/O operation on the connection failed.
     #[error("i/o: {0}")]
     Io(#[from] std::io::Error),
-    /// The peer closed the connection before the message was whole.
+    /// The peer closed the connection before the message was complete.
     #[error("the connection was closed")]
     Closed,
-    /// The bytes are no HTTP/1.1 message, or one that could be understood in two ways.
+    /// The bytes are not a valid HTTP/1.1 message, or their framing is ambiguous.
     #[error("malformed message: {0}")]
     Malformed(&'static str),
-    /// The head is longer than the limit, in bytes.
+    /// The head exceeds the limit, in bytes.
     #[error("head over {0} bytes")]
     HeadTooLarge(usize),
-    /// The body is longer than the limit, in bytes.
+    /// The body exceeds the limit, in bytes.
     #[error("body over {0} bytes")]
     BodyTooLarge(usize),
-    /// The message did not arrive in time.
+    /// The connection or message did not complete in time.
     #[error("timed out")]
     TimedOut,
 }
 
 impl HttpError {
-    /// Tells whether nobody listens at the address.
+    /// Whether the connection was refused because nothing listens at the address.
     pub fn is_connection_refused(&self) -> bool {
         matches!(self, HttpError::Io(error) if error.kind() == std::io::ErrorKind::ConnectionRefused)
     }
--- a/grebedeck-http/src/head.rs
+++ b/grebedeck-http/src/head.rs
@@ -1,13 +1,13 @@
-//! Heads of requests and responses.
+//! Heads of requests and responses: parsing, writing, and the choice of headers to forward.
 
 use bytes::{Buf, BytesMut};
 
 use crate::error::{HttpError, Result};
 
-/// Most headers in one head. The longest head that is allowed holds fewer in practice.
+/// Maximum number of headers in one head; heads within the size limits hold fewer in practice.
 const MAX_HEADERS: usize = 128;
 
-/// Headers that concern one connection only and are not passed on (RFC 9110, section 7.6.1).
+/// Headers that apply to one connection or message and are not forwarded (RFC 9110, section 7.6.1).
 const HOP_BY_HOP: [&str; 10] = [
     "connection",
     "content-length",
@@ -21,46 +21,46 @@
     "upgrade",
 ];
 
-/// Tells whether a header concerns one connection or the framing of one message; `connection` is the
-/// message's own list.
+/// Whether a header applies to one connection or to the framing of one message; `connection` is the
+/// value of the message's `connection` header.
 pub fn is_hop_by_hop(name: &str, connection: &str) -> bool {
     let listed = connection.split(',').any(|n| n.trim().eq_ignore_ascii_case(name));
 
     listed || HOP_BY_HOP.iter().any(|h| h.eq_ignore_ascii_case(name))
 }
 
-/// Headers in the order in which they came.
+/// Headers in order of arrival; names are matched case-insensitively.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Headers {
     fields: Vec<(String, Vec<u8>)>,
 }
 
 impl Headers {
-    /// Gets a header's first value.
+    /// First value of a header.
     pub fn get(&self, name: &str) -> Option<&[u8]> {
         let same = |(field, _): &&(String, Vec<u8>)| field.eq_ignore_ascii_case(name);
 
         self.fields.iter().find(same).map(|(_, value)| value.as_slice())
     }
 
-    /// Gets a header's first value where it is text.
+    /// First value of a header, trimmed, if it is valid UTF-8.
     pub fn text(&self, name: &str) -> Option<&str> {
         self.get(name).and_then(|value| std::str::from_utf8(value).ok()).map(str::trim)
     }
 
-    /// Gets all values of a header.
+    /// All values of a header.
     pub fn all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a [u8]> {
         let same = move |(field, _): &&(String, Vec<u8>)| field.eq_ignore_ascii_case(name);
 
         self.fields.iter().filter(same).map(|(_, value)| value.as_slice())
     }
 
-    /// Gets all headers.
+    /// All headers, in order.
     pub fn iter(&self) -> impl Iterator<Item = (&str, &[u8])> {
         self.fields.iter().map(|(name, value)| (name.as_str(), value.as_slice()))
     }
 
-    /// Adds a header behind the others.
+    /// Appends a header.
     pub fn push(&mut self, name: &str, value: impl Into<Vec<u8>>) {
         self.fields.push((name.to_string(), value.into()));
     }
@@ -70,7 +70,7 @@
         self.fields.retain(|(field, _)| !field.eq_ignore_ascii_case(name));
     }
 
-    /// Gets the headers that are passed on from one connection to another.
+    /// The headers that a proxy forwards.
     pub fn end_to_end(&self) -> Headers {
         let connection = self.text("connection").unwrap_or_default();
         let keep = |(name, _): &&(String, Vec<u8>)| !is_hop_by_hop(name, connection);
@@ -78,12 +78,12 @@
         Headers { fields: self.fields.iter().filter(keep).cloned().collect() }
     }
 
-    /// Tells whether the message's `connection` header holds a word.
-    pub fn has_connection_option(&self, word: &str) -> bool {
-        let is_word = |part: &str| part.trim().eq_ignore_ascii_case(word);
+    /// Whether the `connection` header lists an option, such as `close`.
+    pub fn has_connection_option(&self, option: &str) -> bool {
+        let matches = |part: &str| part.trim().eq_ignore_ascii_case(option);
         let texts = self.all("connection").filter_map(|value| std::str::from_utf8(value).ok());
 
-        texts.flat_map(|text| text.split(',')).any(is_word)
+        texts.flat_map(|text| text.split(',')).any(matches)
     }
 
     fn write(&self, out: &mut Vec<u8>) {
@@ -107,29 +107,29 @@
 /// Head of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestHead {
-    /// The method, as it was sent.
+    /// Method, as received.
     pub method: String,
-    /// Path and query, as they were sent.
+    /// Path and query, as received.
     pub target: String,
-    /// 0 for HTTP/1.0 and 1 for HTTP/1.1.
+    /// 0 for HTTP/1.0, 1 for HTTP/1.1.
     pub minor_version: u8,
-    /// The headers.
+    /// Headers of the message.
     pub headers: Headers,
 }
 
 /// Head of a response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ResponseHead {
-    /// The status.
+    /// Status code.
     pub status: u16,
-    /// 0 for HTTP/1.0 and 1 for HTTP/1.1.
+    /// 0 for HTTP/1.0, 1 for HTTP/1.1.
     pub minor_version: u8,
-    /// The headers.
+    /// Headers of the message.
     pub headers: Headers,
 }
 
 impl RequestHead {
-    /// Takes a head from the front of a buffer, or gives `None` while it is not whole.
+    /// Removes a head from the front of the buffer; returns `None` while it is incomplete.
     pub fn parse(buffer: &mut BytesMut) -> Result<Option<Self>> {
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut parsed = httparse::Request::new(&mut headers);
@@ -151,7 +151,7 @@
         Ok(Some(head))
     }
 
-    /// Writes the head.
+    /// Appends the head, with its final empty line, to the buffer.
     pub fn write(&self, out: &mut Vec<u8>) {
         out.extend_from_slice(self.method.as_bytes());
         out.push(b' ');
@@ -160,24 +160,24 @@
         self.headers.write(out);
     }
 
-    /// Gets the path without the query.
+    /// Path without the query.
     pub fn path(&self) -> &str {
         self.target.split('?').next().unwrap_or_default()
     }
 
-    /// Tells whether the connection may carry another request after this one.
+    /// Whether the connection may carry another request after this one.
     pub fn keeps_alive(&self) -> bool {
         self.minor_version >= 1 && !self.headers.has_connection_option("close")
     }
 }
 
 impl ResponseHead {
-    /// Makes the head of a response of this process.
+    /// Creates a head without headers.
     pub fn new(status: u16) -> Self {
         ResponseHead { status, minor_version: 1, headers: Headers::default() }
     }
 
-    /// Takes a head from the front of a buffer, or gives `None` while it is not whole.
+    /// Removes a head from the front of the buffer; returns `None` while it is incomplete.
     pub fn parse(buffer: &mut BytesMut) -> Result<Option<Self>> {
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut parsed = httparse::Response::new(&mut headers);
@@ -198,19 +198,19 @@
         Ok(Some(head))
     }
 
-    /// Writes the head.
+    /// Appends the head, with its final empty line, to the buffer.
     pub fn write(&self, out: &mut Vec<u8>) {
         let line = format!("HTTP/1.1 {} {}\r\n", self.status, reason_phrase(self.status));
         out.extend_from_slice(line.as_bytes());
         self.headers.write(out);
     }
 
-    /// Tells whether the connection may carry another request after this response.
+    /// Whether the connection may carry another request after this response.
     pub fn keeps_alive(&self) -> bool {
         self.minor_version >= 1 && !self.headers.has_connection_option("close")
     }
 
-    /// Tells whether the status is a success.
+    /// Whether the status is 2xx.
     pub fn is_success(&self) -> bool {
         (200..300).contains(&self.status)
     }
@@ -232,7 +232,7 @@
         502 => "Bad Gateway",
         503 => "Service Unavailable",
         504 => "Gateway Timeout",
-        // The phrase carries no meaning, so a short word does for the others.
+        // Clients ignore the reason phrase, so any word serves for other codes.
         _ => "Status",
     }
 }
--- a/grebedeck-http/src/lib.rs
+++ b/grebedeck-http/src/lib.rs
@@ -1,9 +1,9 @@
 //! HTTP/1.1 messages and connections.
 //!
-//! A load balancer has to pass method, path and body on exactly as they came, to know where each
-//! answer ends and whether it ended whole, and to notice at once that a peer has gone. Client and
-//! server libraries hide these, so this crate parses heads with `httparse` and frames bodies itself.
-//! [`head`] and [`body`] are pure; [`connection`] moves their bytes.
+//! A load balancer must forward method, path and body unchanged, know where each response ends and
+//! whether it is complete, and detect at once that a peer has disconnected. Client and server
+//! libraries hide these details, so this crate parses heads with `httparse` and frames bodies
+//! itself. [`head`] and [`body`] perform no I/O; [`connection`] reads and writes their bytes.
 
 #![forbid(unsafe_code)]
 
--- a/grebedeck-http/tests/connection.rs
+++ b/grebedeck-http/tests/connection.rs
@@ -1,4 +1,4 @@
-//! Connections: what a wait that is given up must not change.
+//! Cancelled reads, detection of a close, and TCP options of connections.
 
 use std::time::Duration;
 
@@ -10,30 +10,30 @@
 
 async fn pair() -> (Connection, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
-    let peer = TcpStream::connect(listener.local_addr().expect("its address")).await;
+    let peer = TcpStream::connect(listener.local_addr().expect("the listener's address")).await;
     let (stream, _) = listener.accept().await.expect("the peer's connection");
 
     (Connection::new(stream), peer.expect("a connection"))
 }
 
 #[test]
-fn a_read_that_is_given_up_leaves_no_bytes() {
+fn a_cancelled_read_adds_nothing_to_the_buffer() {
     async_std::task::block_on(async {
         let (mut connection, mut peer) = pair().await;
         assert!(connection.read_more().now_or_never().is_none(), "nothing was sent");
         assert!(connection.is_idle(), "nothing was sent");
 
-        peer.write_all(b"HTTP/1.1 204 No Content\r\n\r\n").await.expect("written");
+        peer.write_all(b"HTTP/1.1 204 No Content\r\n\r\n").await.expect("a completed write");
         let head = connection.read_response_head(1024).await.expect("a head");
         assert_eq!(head.status, 204);
     });
 }
 
 #[test]
-fn a_connection_with_bytes_that_nobody_asked_for_is_not_quiet() {
+fn a_connection_with_unsolicited_data_is_not_idle() {
     async_std::task::block_on(async {
         let (mut connection, mut peer) = pair().await;
-        peer.write_all(b"HTTP/1.1 200 OK\r\n").await.expect("written");
+        peer.write_all(b"HTTP/1.1 200 OK\r\n").await.expect("a completed write");
 
         while connection.is_idle() {
             async_std::task::yield_now().await;
@@ -42,10 +42,10 @@
 }
 
 #[test]
-fn a_closed_connection_is_noticed_behind_bytes_of_a_next_request() {
+fn a_close_is_detected_behind_data_of_the_next_request() {
     async_std::task::block_on(async {
         let (mut connection, mut peer) = pair().await;
-        peer.write_all(b"GET / HTTP/1.1\r\n").await.expect("written");
+        peer.write_all(b"GET / HTTP/1.1\r\n").await.expect("a completed write");
         drop(peer);
 
         connection.wait_closed(1024).await;
@@ -53,17 +53,18 @@
     });
 }
 
-/// A connection that went silent without a reset held a request until its own time was over.
+/// Guards against a peer that falls silent without a reset, which would block a request until its
+/// deadline: the kernel is to give up such a connection.
 #[test]
-fn a_silent_peer_is_given_up_after_a_limit() {
+fn connect_sets_time_limits_for_a_silent_peer() {
     async_std::task::block_on(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
-        let address = listener.local_addr().expect("its address");
+        let address = listener.local_addr().expect("the listener's address");
         let connection = Connection::connect(address, Duration::from_secs(1)).await;
         let stream = connection.expect("a connection").writer();
 
-        let unacknowledged_ms = sockopt::tcp_user_timeout(&stream).expect("the limit");
-        assert_eq!(Duration::from_millis(unacknowledged_ms.into()), SILENCE_TIMEOUT);
+        let user_timeout_ms = sockopt::tcp_user_timeout(&stream).expect("the user time-out");
+        assert_eq!(Duration::from_millis(user_timeout_ms.into()), SILENCE_TIMEOUT);
         assert_eq!(sockopt::socket_keepalive(&stream), Ok(true));
         assert_eq!(sockopt::tcp_keepidle(&stream), Ok(SILENCE_TIMEOUT));
     });
--- a/grebedeck-http/tests/messages.rs
+++ b/grebedeck-http/tests/messages.rs
@@ -1,4 +1,4 @@
-//! Heads and bodies: framing that could be understood in two ways, and bytes cut anywhere.
+//! Heads and bodies: ambiguous framing, and data that arrives in arbitrary parts.
 
 use bytes::BytesMut;
 use grebedeck_http::{
@@ -8,15 +8,19 @@
 use proptest::prelude::*;
 
 fn request(text: &str) -> RequestHead {
-    RequestHead::parse(&mut BytesMut::from(text)).expect("well formed").expect("whole")
+    RequestHead::parse(&mut BytesMut::from(text))
+        .expect("a well-formed head")
+        .expect("a complete head")
 }
 
 fn response(text: &str) -> ResponseHead {
-    ResponseHead::parse(&mut BytesMut::from(text)).expect("well formed").expect("whole")
+    ResponseHead::parse(&mut BytesMut::from(text))
+        .expect("a well-formed head")
+        .expect("a complete head")
 }
 
 #[test]
-fn a_request_that_could_be_understood_in_two_ways_is_refused() {
+fn ambiguous_request_framing_is_an_error() {
     for headers in [
         "content-length: 3\r\ntransfer-encoding: chunked\r\n",
         "content-length: 3\r\ncontent-length: 4\r\n",
@@ -33,25 +37,25 @@
 }
 
 #[test]
-fn lengths_are_read() {
+fn a_request_with_a_length_keeps_its_path() {
     let head = request("POST /a%2Fb/../c?d HTTP/1.1\r\nHost: x\r\nContent-Length: 12\r\n\r\n");
 
-    assert_eq!(head.target, "/a%2Fb/../c?d", "the path is passed on as it came");
+    assert_eq!(head.target, "/a%2Fb/../c?d", "the path is not normalised");
     assert_eq!(request_framing(&head).expect("a length"), Framing::Length(12));
 }
 
 #[test]
-fn an_answer_without_a_length_ends_with_its_connection() {
+fn a_response_without_a_length_ends_with_its_connection() {
     let plain = response("HTTP/1.1 200 OK\r\n\r\n");
-    assert_eq!(response_framing(&plain, "GET").expect("clear"), Framing::UntilClose);
-    assert_eq!(response_framing(&plain, "HEAD").expect("clear"), Framing::Empty);
+    assert_eq!(response_framing(&plain, "GET").expect("unambiguous framing"), Framing::UntilClose);
+    assert_eq!(response_framing(&plain, "HEAD").expect("unambiguous framing"), Framing::Empty);
 
     let empty = response("HTTP/1.1 204 No Content\r\n\r\n");
-    assert_eq!(response_framing(&empty, "GET").expect("clear"), Framing::Empty);
+    assert_eq!(response_framing(&empty, "GET").expect("unambiguous framing"), Framing::Empty);
 }
 
 #[test]
-fn a_head_is_written_as_it_was_read() {
+fn a_parsed_head_is_written_unchanged() {
     let text = "GET /x HTTP/1.1\r\nHost: a\r\nX-One: 1\r\nX-One: 2\r\n\r\n";
     let mut written = Vec::new();
     request(text).write(&mut written);
@@ -60,27 +64,28 @@
 }
 
 #[test]
-fn headers_of_one_connection_are_not_passed_on() {
+fn hop_by_hop_headers_are_not_forwarded() {
     let head = request(
         "GET / HTTP/1.1\r\nHost: a\r\nConnection: close, X-Hop\r\nX-Hop: 1\r\nTE: trailers\r\n\
          Keep-Alive: timeout=5\r\nX-End: 2\r\n\r\n",
     );
-    let kept: Vec<String> =
+    let forwarded: Vec<String> =
         head.headers.end_to_end().iter().map(|(name, _)| name.to_string()).collect();
 
-    assert_eq!(kept, ["Host", "X-End"]);
+    assert_eq!(forwarded, ["Host", "X-End"]);
     assert!(!head.keeps_alive());
 }
 
-/// Takes a body out of bytes that arrive in parts, and gives what follows it.
-fn decode(framing: Framing, bytes: &[u8], cuts: &[usize]) -> Option<(Vec<u8>, Vec<u8>)> {
+/// Decodes a body from data that arrives in parts of the given lengths, used in a cycle. Returns
+/// the body and the data after it, or `None` for an incomplete or malformed body.
+fn decode(framing: Framing, bytes: &[u8], part_lengths: &[usize]) -> Option<(Vec<u8>, Vec<u8>)> {
     let mut decoder = BodyDecoder::new(framing);
     let mut buffer = BytesMut::new();
     let mut body = Vec::new();
     let mut rest = bytes;
 
-    for cut in cuts.iter().cycle() {
-        let (part, left) = rest.split_at((*cut).min(rest.len()));
+    for length in part_lengths.iter().cycle() {
+        let (part, left) = rest.split_at((*length).min(rest.len()));
         buffer.extend_from_slice(part);
         rest = left;
 
@@ -107,9 +112,9 @@
     #![proptest_config(ProptestConfig { rng_seed: proptest::test_runner::RngSeed::Fixed(11), ..ProptestConfig::default() })]
 
     #[test]
-    fn bodies_are_whole_however_their_bytes_are_cut(
+    fn a_body_is_decoded_from_any_partition_of_its_data(
         chunks in proptest::collection::vec(proptest::collection::vec(any::<u8>(), 1..40), 0..8),
-        cuts in proptest::collection::vec(1usize..17, 1..20),
+        part_lengths in proptest::collection::vec(1usize..17, 1..20),
     ) {
         let whole: Vec<u8> = chunks.concat();
         let mut chunked = Vec::new();
@@ -118,14 +123,14 @@
         let mut plain = whole.clone();
         plain.extend_from_slice(b"next");
 
-        let after_chunks = decode(Framing::Chunked, &chunked, &cuts);
+        let after_chunks = decode(Framing::Chunked, &chunked, &part_lengths);
         prop_assert_eq!(after_chunks, Some((whole.clone(), b"next".to_vec())));
-        let after_length = decode(Framing::Length(whole.len() as u64), &plain, &cuts);
+        let after_length = decode(Framing::Length(whole.len() as u64), &plain, &part_lengths);
         prop_assert_eq!(after_length, Some((whole, b"next".to_vec())));
     }
 
     #[test]
-    fn a_body_that_was_cut_never_looks_whole(
+    fn a_truncated_body_is_never_complete(
         chunk in proptest::collection::vec(any::<u8>(), 1..60),
         cut in any::<proptest::sample::Index>(),
     ) {
@@ -139,7 +144,7 @@
 }
 
 #[test]
-fn malformed_chunks_are_noticed() {
+fn malformed_chunks_are_errors() {
     for bytes in ["x\r\n", "5\r\nabcdeX\r\n", "-1\r\n", "\r\n", "3\nabc\r\n0\r\n\r\n"] {
         assert_eq!(decode(Framing::Chunked, bytes.as_bytes(), &[100]), None, "{bytes:?}");
     }
