--- a/grebedeck-net/src/lib.rs
+++ b/grebedeck-net/src/lib.rs
@@ -6,6 +6,7 @@
 
 #![forbid(unsafe_code)]
 
+pub mod byte_counters;
 pub mod codec;
 pub mod frame;
 pub mod http;
@@ -13,7 +14,6 @@
 pub mod listen;
 pub mod platform;
 pub mod pool;
-pub mod wire;
 
 pub use codec::{decode, encode};
 pub use frame::{FrameReader, FrameWriter};
--- a/grebedeck-net/src/link.rs
+++ b/grebedeck-net/src/link.rs
@@ -13,8 +13,8 @@
 use h2::client::{ResponseFuture, SendRequest};
 use tokio_util::compat::FuturesAsyncReadCompatExt;
 
+use crate::byte_counters::CountingStream;
 use crate::frame::{FrameReader, FrameWriter, h2_error};
-use crate::wire::CountingStream;
 
 /// Flow-control window of a stream: the most unread data that a peer may send.
 pub const STREAM_WINDOW_BYTES: u32 = 256 << 10;
--- a/grebedeck-net/src/listen.rs
+++ b/grebedeck-net/src/listen.rs
@@ -10,9 +10,9 @@
 use h2::server::SendResponse;
 use tokio_util::compat::FuturesAsyncReadCompatExt;
 
+use crate::byte_counters::CountingStream;
 use crate::frame::{FrameReader, FrameWriter, h2_error};
 use crate::link::{CONNECTION_WINDOW_BYTES, STREAM_WINDOW_BYTES};
-use crate::wire::CountingStream;
 
 /// Maximum number of concurrent streams per connection.
 pub const MAX_STREAMS: u32 = 4096;
--- a/grebedeck/src/wire.rs
+++ b/grebedeck/src/wire.rs
@@ -1,7 +1,7 @@
 //! Metrics of the bytes between processes.
 
 use grebedeck_kernel::Metrics;
-use grebedeck_net::wire::{received_bytes, sent_bytes};
+use grebedeck_net::byte_counters::{received_bytes, sent_bytes};
 
 /// Adds the gauges of sent and received bytes.
 pub fn add_metrics(metrics: &Metrics) {
