--- a/grebedeck-config/src/accept.rs
+++ b/grebedeck-config/src/accept.rs
@@ -11,11 +11,11 @@
 use crate::document::Document;
 
 /// Retries of a change on newer revisions before it is refused.
-pub const MAX_RETRIES: u32 = 8;
+pub const MAX_WRITE_RETRIES: u32 = 8;
 /// Retries of a read of the change's id before the outcome is reported as unknown.
 pub const MAX_READ_BACK_RETRIES: u32 = 6;
 
-/// The next action of the caller, which does the I/O.
+/// Next action for the caller, which performs the I/O.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AcceptAction {
     /// Update the replica to the store's newest revision, then call [`Acceptor::on_caught_up`].
@@ -35,7 +35,7 @@
     Accepted(Revision),
     /// The change is refused as a whole and never takes effect.
     Refused(Faults),
-    /// The store did not respond; submitting the same id again reveals the outcome.
+    /// The outcome is unknown; submitting the same id again reveals it.
     Unknown,
 }
 
@@ -126,7 +126,7 @@
             return Err(faults);
         }
 
-        if self.retries > MAX_RETRIES {
+        if self.retries > MAX_WRITE_RETRIES {
             let mut faults = Faults::default();
             faults.add("id", &self.change.id, "a retry later: too many changes raced with it");
 
--- a/grebedeck-config/src/change.rs
+++ b/grebedeck-config/src/change.rs
@@ -90,7 +90,8 @@
         self.targets.is_empty() && self.groups.is_empty() && self.selectors.is_empty()
     }
 
-    /// Validates the change against a document; returns the next document or every fault.
+    /// Validates the change against a document; returns the next document or every fault. Missing
+    /// capacity is reported only if the next document has no fault of its own.
     pub fn check(&self, document: &Document) -> Result<Document, Faults> {
         let mut faults = Faults::default();
 
--- a/grebedeck-config/src/document.rs
+++ b/grebedeck-config/src/document.rs
@@ -1,6 +1,6 @@
 //! The configuration document: targets, groups, organisations and selector rules.
 //!
-//! [`Document::check`] reports every fault of a document at once, so that an operator can mend a
+//! [`Document::check`] reports every fault of a document at once, so that an operator can fix a
 //! change in one round.
 
 use std::collections::{BTreeMap, BTreeSet};
--- a/grebedeck-config/tests/accept.rs
+++ b/grebedeck-config/tests/accept.rs
@@ -38,7 +38,7 @@
 
 struct Operator {
     acceptor: Acceptor,
-    order: AcceptAction,
+    action: AcceptAction,
     id: String,
     replica: Replica,
 }
@@ -46,13 +46,13 @@
 impl Operator {
     fn new(change: Change) -> Self {
         let id = change.id.clone();
-        let (acceptor, order) = Acceptor::new(change);
+        let (acceptor, action) = Acceptor::new(change);
 
-        Operator { acceptor, order, id, replica: Replica::default() }
+        Operator { acceptor, action, id, replica: Replica::default() }
     }
 
     fn step(&mut self, store: &mut Store, fault: u8) {
-        self.order = match self.order.clone() {
+        self.action = match self.action.clone() {
             AcceptAction::CatchUp => {
                 let before = self.replica.revision();
                 self.replica.apply(CatchUp::Entries(store.log.clone()));
@@ -89,7 +89,7 @@
     }
 
     fn result(&self) -> Option<&AcceptResult> {
-        match &self.order {
+        match &self.action {
             AcceptAction::Finish(result) => Some(result),
             _ => None,
         }
--- a/grebedeck-http/tests/connection.rs
+++ b/grebedeck-http/tests/connection.rs
@@ -54,7 +54,7 @@
 }
 
 /// Guards against a peer that falls silent without a reset, which would block a request until its
-/// deadline: the kernel is to give up such a connection.
+/// deadline: the kernel must end such a connection.
 #[test]
 fn connect_sets_time_limits_for_a_silent_peer() {
     async_std::task::block_on(async {
