--- a/grebedeck-net/src/wire.rs
+++ b/grebedeck-net/src/byte_counters.rs
@@ -1,4 +1,4 @@
-//! Counting the bytes between grebedeck's processes, as they leave and enter the sockets.
+//! Counters of the bytes that this process exchanges with its peers, taken at the sockets.
 
 use std::io;
 use std::pin::Pin;
@@ -11,29 +11,29 @@
 static SENT_BYTES: AtomicU64 = AtomicU64::new(0);
 static RECEIVED_BYTES: AtomicU64 = AtomicU64::new(0);
 
-/// Gets the bytes that this process has sent to its peers.
+/// Bytes sent to peers since the process started.
 pub fn sent_bytes() -> u64 {
     SENT_BYTES.load(Ordering::Relaxed)
 }
 
-/// Gets the bytes that this process has received from its peers.
+/// Bytes received from peers since the process started.
 pub fn received_bytes() -> u64 {
     RECEIVED_BYTES.load(Ordering::Relaxed)
 }
 
-/// A connection to a peer whose bytes are counted.
-pub struct Counted {
+/// A TCP stream to a peer that adds its traffic to the counters.
+pub struct CountingStream {
     tcp: TcpStream,
 }
 
-impl Counted {
-    /// Counts the bytes of a connection from now on.
+impl CountingStream {
+    /// Wraps a TCP stream.
     pub fn new(tcp: TcpStream) -> Self {
-        Counted { tcp }
+        CountingStream { tcp }
     }
 }
 
-impl AsyncRead for Counted {
+impl AsyncRead for CountingStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -49,7 +49,7 @@
     }
 }
 
-impl AsyncWrite for Counted {
+impl AsyncWrite for CountingStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
--- a/grebedeck-net/src/lib.rs
+++ b/grebedeck-net/src/lib.rs
@@ -1,10 +1,12 @@
-//! Input and output: streams between grebedeck's processes, HTTP towards callers and targets, and
-//! clients of the platform.
+//! Network I/O: streams between Grebedeck processes, HTTP with callers and targets, and clients of
+//! the platform.
 //!
-//! Thin shells only. What is sent, and what follows from an answer, is decided elsewhere.
+//! This crate only transports messages. Other crates decide what to send and how to react to a
+//! response.
 
 #![forbid(unsafe_code)]
 
+pub mod byte_counters;
 pub mod codec;
 pub mod frame;
 pub mod http;
@@ -12,10 +14,9 @@
 pub mod listen;
 pub mod platform;
 pub mod pool;
-pub mod wire;
 
 pub use codec::{decode, encode};
 pub use frame::{FrameReader, FrameWriter};
 pub use link::{Link, Stream};
-pub use listen::{Incoming, StreamHandler, listen};
+pub use listen::{IncomingStream, StreamHandler, listen};
 pub use pool::LinkPool;
--- a/grebedeck/src/directory.rs
+++ b/grebedeck/src/directory.rs
@@ -147,7 +147,7 @@
         stream.writer.send_last(message).await?;
         let mut reader = stream.reader().await?;
 
-        reader.expect().await
+        reader.next_required().await
     };
 
     match timeout(CONTROL_TIMEOUT, exchange).await {
--- a/grebedeck/src/gateway/attempt.rs
+++ b/grebedeck/src/gateway/attempt.rs
@@ -123,7 +123,7 @@
         Err(error) => {
             in_flight.record_outcome(false);
 
-            if error.is_refused() && !gateway.is_earlier_start(target) {
+            if error.is_connection_refused() && !gateway.is_earlier_start(target) {
                 gateway.assume_restart(target);
             }
 
@@ -175,7 +175,7 @@
         Some(connection) => connection,
         None => {
             let new = Connection::connect(target.address, CONNECT_TIMEOUT.min(left)).await?;
-            new.limit_unread(SOCKET_BUFFER_BYTES)?;
+            new.limit_receive_buffer(SOCKET_BUFFER_BYTES)?;
             new
         }
     };
@@ -264,7 +264,7 @@
 fn drain_refusal(connection: &mut Connection, decoder: &mut BodyDecoder) {
     while let Ok(Decoded::Data(_)) = decoder.decode(connection.buffer()) {}
 
-    if decoder.is_ended() {
+    if decoder.is_complete() {
         connection.end_exchange();
     }
 }
--- a/grebedeck/src/gateway/caller.rs
+++ b/grebedeck/src/gateway/caller.rs
@@ -162,7 +162,7 @@
             answer = answering.fuse() => Some(answer),
             // Dropping the attempt resets the connection to the target, so the target drops the
             // request.
-            () = connection.closed(READ_AHEAD_BYTES).fuse() => None,
+            () = connection.wait_closed(READ_AHEAD_BYTES).fuse() => None,
         }
     };
 
--- a/grebedeck/src/gateway/open_response.rs
+++ b/grebedeck/src/gateway/open_response.rs
@@ -59,7 +59,7 @@
         let mut body = Buffer::new(&self.gateway.answers);
         // A known length is reserved at once, so that no two responses wait for each other's
         // memory.
-        let len_bytes = self.decoder.left_bytes().unwrap_or(0).min(MAX_BUFFERED_ANSWER_BYTES);
+        let len_bytes = self.decoder.remaining_bytes().unwrap_or(0).min(MAX_BUFFERED_ANSWER_BYTES);
 
         if !body.reserve(len_bytes, ANSWER_MEMORY_WAIT).await {
             return Err(FailureCause::NoMemory);
@@ -89,7 +89,7 @@
 
         // A response that is delimited by the end of its connection looks the same if its target
         // crashes.
-        if !self.decoder.is_ended() {
+        if !self.decoder.is_complete() {
             return;
         }
 
--- a/grebedeck/src/gateway/pool.rs
+++ b/grebedeck/src/gateway/pool.rs
@@ -40,7 +40,7 @@
         let idle = all.get_mut(&(target.address, target.born_ms))?;
 
         while let Some(mut last) = idle.pop() {
-            if last.expires_at > now && last.connection.is_quiet() {
+            if last.expires_at > now && last.connection.is_idle() {
                 return Some(last.connection);
             }
         }
--- a/grebedeck/src/gateway/stream.rs
+++ b/grebedeck/src/gateway/stream.rs
@@ -106,7 +106,7 @@
                 let finding = slot::acquire(self.gateway, self.request, self.tried.targets());
                 futures::select! {
                     found = finding.fuse() => Some(found),
-                    () = self.connection.closed(READ_AHEAD_BYTES).fuse() => None,
+                    () = self.connection.wait_closed(READ_AHEAD_BYTES).fuse() => None,
                 }
             };
             let slot = match found {
@@ -122,7 +122,7 @@
                 let opening = attempt::open(self.gateway, self.request, slot);
                 futures::select! {
                     opened = opening.fuse() => Some(opened),
-                    () = self.connection.closed(READ_AHEAD_BYTES).fuse() => None,
+                    () = self.connection.wait_closed(READ_AHEAD_BYTES).fuse() => None,
                 }
             };
 
@@ -166,7 +166,7 @@
                 let reading = timeout(left, opened.next_part());
                 futures::select! {
                     next = reading.fuse() => next,
-                    () = self.connection.closed(READ_AHEAD_BYTES).fuse() =>
+                    () = self.connection.wait_closed(READ_AHEAD_BYTES).fuse() =>
                         return PartEnd::CallerGone,
                 }
             };
--- a/grebedeck/src/gateway/suspects.rs
+++ b/grebedeck/src/gateway/suspects.rs
@@ -320,7 +320,7 @@
         let target = others.swap_remove(ProcessRandom::default().below(others.len()));
         let connected = Connection::connect(target.address, CONNECT_TIMEOUT).await;
 
-        if connected.is_err_and(|error| error.is_refused()) {
+        if connected.is_err_and(|error| error.is_connection_refused()) {
             let start = TargetStart::listed(&target.id, target.born_ms);
             gateway.quarantine.borrow_mut().record_crash(&start, [], gateway.now());
             gateway.notify_updates();
