--- a/grebedeck/src/main.rs
+++ b/grebedeck/src/main.rs
@@ -91,7 +91,7 @@
     let settings: RankSettings = settings::read(file)?;
     prepare()?;
     let store = Store::new(settings.store_address, millis(settings.store_limit_ms));
-    let engine = Engine::new(settings.target_address, rank::options::ENGINE_LIMIT);
+    let engine = Engine::new(settings.target_address, rank::options::ENGINE_TIMEOUT);
     let tasks = gateway::Tasks::default();
 
     let ran = tasks.run(rank::run(tasks.clone(), settings, store, engine)).await;
--- a/grebedeck/src/rank.rs
+++ b/grebedeck/src/rank.rs
@@ -1,9 +1,10 @@
-//! The rank process: stands beside a rank of a model's group, reads its engine, and rolls placements of
-//! experts out together with the processes beside the other ranks.
+//! The rank process, which runs beside one rank of a model's group. It reads the rank's engine and
+//! rolls out placements of experts together with the rank processes beside the other ranks.
 //!
-//! The decisions are in `grebedeck-experts` ([`rollout`](grebedeck_experts::rollout),
-//! [`Balancer`](grebedeck_experts::Balancer)); this module carries messages, orders and answers.
-//! Messages are datagrams: each tells a state, so that a lost one is made good by the next.
+//! The decisions are made in `grebedeck-experts` ([`rollout`](grebedeck_experts::rollout),
+//! [`Balancer`](grebedeck_experts::Balancer)); this module does the I/O: messages, orders to
+//! engines and their responses. Messages are datagrams. Each carries the sender's state, so the
+//! next one makes up for a lost one.
 
 pub mod balance;
 pub mod calls;
@@ -25,9 +26,9 @@
 use grebedeck_kernel::log;
 
 pub use options::RankSettings;
-use rested::Rested;
+use rested::RetryAfterEngine;
 
-/// Runs a rank process until it is told to stop.
+/// Runs a rank process until it receives a stop signal.
 pub async fn run<S: SiteStore, E: RankEngine>(
     tasks: Rc<LocalExecutor<'static>>,
     settings: RankSettings,
@@ -39,7 +40,7 @@
         target_address = settings.target_address.to_string(),
     });
 
-    let engine = Rested::new(engine, settings.target_address);
+    let engine = RetryAfterEngine::new(engine, settings.target_address);
 
     driver::Driver::try_new(tasks, settings, store, engine).await?.run().await
 }
--- a/grebedeck/src/rank/balance.rs
+++ b/grebedeck/src/rank/balance.rs
@@ -1,4 +1,4 @@
-//! The leader's estimate of what is popular, and its plans.
+//! The leader's balancer, created when the engine's specification becomes known.
 
 use std::time::Duration;
 
@@ -10,27 +10,28 @@
 
 use super::options::BalanceSettings;
 
-/// Follows a group's counts as soon as its engine's figures are known.
-pub struct Balance {
+/// Estimates the popularity of a group's experts and plans placements.
+pub struct GroupBalancer {
     settings: BalanceSettings,
     service: String,
     spec: Option<EngineSpec>,
     balancer: Option<Balancer>,
 }
 
-impl Balance {
-    /// Makes the balance of a service's group.
+impl GroupBalancer {
+    /// Creates a balancer for a service's group; it plans nothing before the engine's specification
+    /// is known.
     pub fn new(settings: BalanceSettings, service: &str) -> Self {
-        Balance { settings, service: service.to_string(), spec: None, balancer: None }
+        GroupBalancer { settings, service: service.to_string(), spec: None, balancer: None }
     }
 
-    /// Tells whether the engine's figures are known.
-    pub fn knows_engine(&self) -> bool {
+    /// Whether the engine's specification is known.
+    pub fn has_engine_spec(&self) -> bool {
         self.spec.is_some()
     }
 
-    /// Takes the engine's figures from the configuration.
-    pub fn take_site(&mut self, site: &Site) {
+    /// Applies the engine's specification, if the configuration has one for the service.
+    pub fn apply_site(&mut self, site: &Site) {
         let service = site.services.iter().find(|s| s.name == self.service);
 
         if let Some(spec) = service.and_then(|s| s.engine.clone()) {
@@ -39,28 +40,28 @@
         }
     }
 
-    /// Gets the placement that engines start with.
-    pub fn first_placement(&self, ranks: u16) -> Option<Placement> {
+    /// Placement that engines start with, once the engine's specification is known.
+    pub fn initial_placement(&self, ranks: u16) -> Option<Placement> {
         let spec = self.spec.as_ref()?;
 
         Some(Placement::round_robin(ranks, usize::from(spec.sets), spec.experts))
     }
 
-    /// Takes in what a rank counted.
-    pub fn count(&mut self, report: &CountReport) {
+    /// Records the counts of a rank.
+    pub fn record_counts(&mut self, report: &CountReport) {
         if let Some(balancer) = &mut self.balancer {
             balancer.add_counts(report);
         }
     }
 
-    /// Starts anew with a group that has formed anew.
-    pub fn restart(&mut self) {
+    /// Discards the counts after the group has formed anew.
+    pub fn reset(&mut self) {
         if let Some(balancer) = &mut self.balancer {
             balancer.reset();
         }
     }
 
-    /// Gives a better placement, where one is worth rolling out.
+    /// Searches for a better placement; `None` if none is worth a rollout.
     pub fn plan(
         &mut self,
         in_use: &Placement,
@@ -71,7 +72,7 @@
         let running: u32 = reports.iter().map(|r| r.running).sum();
         let costs: Vec<f32> = reports.iter().map(|r| r.pace.max(1.0)).collect();
 
-        // A group without requests gains nothing, and makes no pass to take a placement at.
+        // A group without requests gains nothing, and begins no pass at which ranks could switch.
         if running == 0 {
             return None;
         }
@@ -81,17 +82,17 @@
     }
 }
 
-/// Gets how many experts a rank may copy for one placement: as many as fit into the time for it, and one where
-/// the time of a copy is not known.
+/// Maximum number of experts that a rank copies for one placement: as many as fit into the time for
+/// copies, or one if the duration of a copy is not known.
 pub fn max_copies(limit: Duration, spec: &EngineSpec) -> usize {
     if spec.copy.is_zero() {
         return 1;
     }
 
-    let most = usize::from(spec.spare) * usize::from(spec.sets);
+    let max_useful = usize::from(spec.spare) * usize::from(spec.sets);
     let fitting = (limit.as_secs_f64() / spec.copy.as_secs_f64()) as usize;
 
-    fitting.clamp(1, most.max(1))
+    fitting.clamp(1, max_useful.max(1))
 }
 
 fn options(settings: &BalanceSettings, spec: &EngineSpec) -> BalancerOptions {
--- a/grebedeck/src/rank/calls.rs
+++ b/grebedeck/src/rank/calls.rs
@@ -1,4 +1,4 @@
-//! Calls and datagrams of a rank process: to engines, to the store and to other processes.
+//! I/O of a rank process: calls to engines and to the store, and datagrams to other processes.
 
 use std::net::SocketAddr;
 
@@ -12,14 +12,20 @@
 use super::driver::Driver;
 use super::message::{Body, Datagram};
 
-/// What became of a call.
-pub(super) enum Outcome {
+/// Result of a call, handled by the driver's loop.
+pub(super) enum CallResult {
+    /// Report of the own engine.
     Report(Result<RankReport>),
-    Asked(Result<RankReport>),
+    /// Report that the rollout requested, of any rank's engine.
+    RequestedReport(Result<RankReport>),
     Counts(Result<RankCounts>),
-    Ordered { rank: Rank, order: RankOrder, end: OrderOutcome },
+    OrderDone {
+        rank: Rank,
+        order: RankOrder,
+        outcome: OrderOutcome,
+    },
     Part(Result<(PlacementNo, RankPart)>),
-    Listed(Result<TargetListing>),
+    Targets(Result<TargetListing>),
     Site(Result<Option<Site>>),
 }
 
@@ -33,45 +39,47 @@
             Err(error) => Err(error),
         };
 
-        // A lost datagram is made good by the next one, but one that never can be sent is a fault.
+        // The next datagram makes up for a lost one, but one that can never be sent is a fault.
         match sent {
             Ok(_) => self.counters.datagrams.add("sent"),
             Err(error) => {
                 self.counters.datagrams.add("failed");
-                log::warn!("datagram not sent", kv: { to = to.to_string(), error = error.to_string() });
+                log::warn!("datagram not sent", kv: {
+                    to = to.to_string(), error = error.to_string(),
+                });
             }
         }
     }
 
-    /// Gets the own engine's group, once it is known.
+    /// Group of the own engine, once known.
     pub(super) fn group(&self) -> Option<GroupId> {
         self.node.report().map(|report| report.group)
     }
 
-    pub(super) fn order(&self, rank: Rank, order: RankOrder) {
+    pub(super) fn send_order(&self, rank: Rank, order: RankOrder) {
         let Some(engine) = self.engine_of(rank) else {
             return;
         };
-        let outcomes = self.outcomes.0.clone();
+        let call_results = self.call_results.0.clone();
 
         self.tasks
             .spawn(async move {
-                let end = engine.order(&order).await.unwrap_or(OrderOutcome::Refused);
-                let _ = outcomes.send(Outcome::Ordered { rank, order, end }).await;
+                let outcome = engine.order(&order).await.unwrap_or(OrderOutcome::Refused);
+                let _ = call_results.send(CallResult::OrderDone { rank, order, outcome }).await;
             })
             .detach();
     }
 
-    pub(super) fn ask(&self, rank: Rank) {
+    pub(super) fn read_report(&self, rank: Rank) {
         let Some(engine) = self.engine_of(rank) else {
             return;
         };
-        let outcomes = self.outcomes.0.clone();
+        let call_results = self.call_results.0.clone();
 
         self.tasks
             .spawn(async move {
                 let report = engine.report().await;
-                let _ = outcomes.send(Outcome::Asked(report)).await;
+                let _ = call_results.send(CallResult::RequestedReport(report)).await;
             })
             .detach();
     }
@@ -84,23 +92,26 @@
         }
     }
 
-    pub(super) fn call<F: Future<Output = Outcome> + 'static>(&self, call: impl FnOnce(E) -> F) {
+    pub(super) fn call_engine<F: Future<Output = CallResult> + 'static>(
+        &self,
+        call: impl FnOnce(E) -> F,
+    ) {
         self.spawn(call(self.engine.clone()));
     }
 
-    pub(super) fn ask_store<F: Future<Output = Outcome> + 'static>(
+    pub(super) fn call_store<F: Future<Output = CallResult> + 'static>(
         &self,
         call: impl FnOnce(S) -> F,
     ) {
         self.spawn(call(self.store.clone()));
     }
 
-    fn spawn(&self, call: impl Future<Output = Outcome> + 'static) {
-        let outcomes = self.outcomes.0.clone();
+    fn spawn(&self, call: impl Future<Output = CallResult> + 'static) {
+        let call_results = self.call_results.0.clone();
 
         self.tasks
             .spawn(async move {
-                let _ = outcomes.send(call.await).await;
+                let _ = call_results.send(call.await).await;
             })
             .detach();
     }
--- a/grebedeck/src/rank/counters.rs
+++ b/grebedeck/src/rank/counters.rs
@@ -1,4 +1,4 @@
-//! What a rank process counts.
+//! Metrics of a rank process.
 
 use grebedeck_experts::OrderOutcome;
 use grebedeck_experts::rollout::RankEvent;
@@ -8,20 +8,20 @@
 pub struct Counters {
     /// Decisions on placements, leadership and held passes.
     pub decisions: Counter,
-    /// Orders to engines by how they ended.
+    /// Orders to engines by outcome.
     pub orders: Counter,
-    /// Datagrams by how sending them ended, and those that were not understood.
+    /// Datagrams by the result of sending them, and datagrams that were not accepted.
     pub datagrams: Counter,
-    /// Experts that ranks were told to copy.
+    /// Copies of experts in proposed placements.
     pub copies: Counter,
-    /// Times that a leader was without the possibility of a plan for long, by what was in the way.
+    /// Obstacles that kept a leader from planning for long, by reason.
     pub obstacles: Counter,
-    /// Time for which held passes were decided on.
+    /// Time from the last phase of a changeover to the release of the held pass.
     pub holds: Histogram,
 }
 
 impl Counters {
-    /// Makes the counters of a process.
+    /// Registers the metrics.
     pub fn new(metrics: &Metrics) -> Self {
         Counters {
             decisions: metrics.counter(
@@ -57,9 +57,9 @@
         }
     }
 
-    /// Counts a note of the node.
-    pub fn note(&self, note: &RankEvent) {
-        let kind = match note {
+    /// Counts an event of the node.
+    pub fn record_event(&self, event: &RankEvent) {
+        let kind = match event {
             RankEvent::LeadershipTaken(_) => "leads",
             RankEvent::LeaderFollowed(_) => "follows",
             RankEvent::Resigned { .. } => "resigns",
@@ -76,14 +76,14 @@
 
         self.decisions.add(kind);
 
-        if let RankEvent::PassReleased { placement_no, held_for, .. } = note {
+        if let RankEvent::PassReleased { placement_no, held_for, .. } = event {
             self.holds.note(*held_for, if placement_no.is_some() { "armed" } else { "nobody" });
         }
     }
 
-    /// Counts an order.
-    pub fn note_order(&self, end: OrderOutcome) {
-        self.orders.add(match end {
+    /// Counts the outcome of an order.
+    pub fn record_order(&self, outcome: OrderOutcome) {
+        self.orders.add(match outcome {
             OrderOutcome::Taken => "taken",
             OrderOutcome::Refused => "refused",
             OrderOutcome::Unknown => "unanswered",
--- a/grebedeck/src/rank/dependency.rs
+++ b/grebedeck/src/rank/dependency.rs
@@ -1,38 +1,40 @@
-//! Whether a rank process gets answers from what it depends on.
+//! Availability of the services that a rank process calls.
 
 use grebedeck_core::Result;
 use grebedeck_kernel::log;
 
-/// Something that the process depends on, and whether its last call was answered. One line tells of a loss and one of
-/// the return, however many calls fail in between.
+/// A called service, and whether its last call failed. One log line reports the first failure and
+/// one the recovery, however many calls fail in between.
 #[derive(Clone, Copy, Debug)]
 pub struct Dependency {
     name: &'static str,
-    is_lost: bool,
+    is_failing: bool,
 }
 
 impl Dependency {
-    /// Makes a dependency that was not called yet.
+    /// Creates a dependency that has not been called yet.
     pub fn new(name: &'static str) -> Self {
-        Dependency { name, is_lost: false }
+        Dependency { name, is_failing: false }
     }
 
-    /// Tells whether the last call failed.
-    pub fn is_lost(&self) -> bool {
-        self.is_lost
+    /// Whether the last call failed.
+    pub fn is_failing(&self) -> bool {
+        self.is_failing
     }
 
-    /// Notes how a call ended, and logs what is new.
-    pub fn note<T>(&mut self, result: &Result<T>) {
+    /// Records the result of a call; logs a change.
+    pub fn record<T>(&mut self, result: &Result<T>) {
         match result {
-            Ok(_) if self.is_lost => log::info!("dependency back", kv: { name = self.name }),
-            Err(error) if !self.is_lost => {
+            Ok(_) if self.is_failing => {
+                log::info!("dependency available again", kv: { name = self.name })
+            }
+            Err(error) if !self.is_failing => {
                 let error = error.to_string();
-                log::warn!("dependency lost", kv: { name = self.name, error });
+                log::warn!("dependency unavailable", kv: { name = self.name, error });
             }
             _ => {}
         }
 
-        self.is_lost = result.is_err();
+        self.is_failing = result.is_err();
     }
 }
--- a/grebedeck/src/rank/message.rs
+++ b/grebedeck/src/rank/message.rs
@@ -1,4 +1,4 @@
-//! Datagrams between rank processes.
+//! Datagrams between rank processes and gateways.
 
 use std::net::SocketAddr;
 
@@ -13,63 +13,65 @@
 
 use crate::message::SuspectMessage;
 
-/// Largest datagram, in bytes.
+/// Maximum size of a datagram.
 pub const MAX_DATAGRAM_BYTES: usize = 60_000;
 
-/// One datagram. Rank processes are known by their targets' addresses, which the platform lists; of a
-/// gateway only the instance's address counts.
+/// A datagram. Rank processes are identified by the addresses of their targets, which the platform
+/// lists; gateways only by the address of their instance.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Datagram {
-    /// The target beside which the sender stands.
+    /// Address of the sender's target; of a gateway its own address.
     pub from: SocketAddr,
-    /// The group that it concerns; a gateway's concerns whoever gets it.
+    /// Group of the sender; `None` if a gateway sent it, or a rank process that does not know its
+    /// group yet.
     pub group: Option<GroupId>,
-    /// What it says.
+    /// Content.
     pub body: Body,
 }
 
-/// What a datagram says.
+/// Content of a datagram.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Body {
-    /// A message of the rollout.
+    /// Message of the rollout protocol.
     Rollout(Message<SocketAddr>),
-    /// What a rank counted since its last report.
+    /// Token counts of a rank since its previous report, for the leader.
     Counts(CountReport),
-    /// From a gateway: the sender wants to be told the rank's load for a while.
+    /// From a gateway: a request to receive the rank's load for the next seconds.
     Watch,
-    /// To those that want it: the rank's load.
+    /// Load of a rank, for the gateways that requested it.
     Load(RankLoad),
-    /// Between gateways: crashes of targets.
+    /// Between gateways: crashes of targets and requests in quarantine.
     Suspects(SuspectMessage),
-    /// To a leader of another group that takes the sender for one of its own: the sender's group is this datagram's.
+    /// To a leader that takes the sender for a rank of its group: the sender belongs to the group
+    /// of this datagram.
     Elsewhere,
-    /// Between gateways: permits for targets that name a limit.
+    /// Between gateways: permits for targets with a limit.
     Quota(QuotaMessage),
 }
 
-/// A rank's load, as its engine says.
+/// Load of a rank as its engine reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RankLoad {
-    /// The rank's group.
+    /// Group of the rank.
     pub group: GroupId,
-    /// Requests that run.
+    /// Number of running requests.
     pub running: u32,
-    /// Requests that wait.
+    /// Number of waiting requests.
     pub waiting: u32,
-    /// How often the group has formed.
+    /// Epoch of the group, which increases each time that the group forms.
     pub formation: u64,
     /// Whether the group makes passes.
     pub is_open: bool,
-    /// Time that the engine takes for its work, relative to what is usual.
+    /// Duration of the engine's work relative to its usual duration.
     pub slowdown: f32,
-    /// Unix milliseconds of the engine's start by its own clock, where it tells them.
+    /// Start of the engine in Unix milliseconds by the engine's clock, if the engine reports it.
     pub born_ms: Option<u64>,
 }
 
-/// Lines a second on datagrams that are not understood: enough to see who sends them, whatever comes.
-const UNREAD_LINES_PER_S: f64 = 1.0;
+/// Maximum rate of log lines on invalid datagrams: enough to identify a sender, whatever arrives.
+const INVALID_LINES_PER_S: f64 = 1.0;
 
-/// Reads datagrams, and tells of those that are no datagram of this version.
+/// Parses datagrams, and logs those that are not valid in this version of the protocol.
 #[derive(Debug)]
 pub struct DatagramReader {
     lines: LineBudget,
@@ -77,25 +79,25 @@
 
 impl Default for DatagramReader {
     fn default() -> Self {
-        DatagramReader { lines: LineBudget::new(UNREAD_LINES_PER_S) }
+        DatagramReader { lines: LineBudget::new(INVALID_LINES_PER_S) }
     }
 }
 
 impl DatagramReader {
-    /// Reads a datagram's bytes, or gives `None` for bytes that are to be dropped.
+    /// Parses a datagram; returns `None` for bytes to drop.
     pub fn read(&mut self, bytes: &[u8], now: Moment) -> Option<Datagram> {
         match Datagram::parse(bytes) {
             Ok(datagram) => Some(datagram),
             Err(error) => {
-                self.note_unread(bytes.len(), &error, now);
+                self.log_invalid(bytes.len(), &error, now);
                 None
             }
         }
     }
 
-    fn note_unread(&mut self, length_bytes: usize, error: &Error, now: Moment) {
+    fn log_invalid(&mut self, length_bytes: usize, error: &Error, now: Moment) {
         if let Some(left_out) = self.lines.take_line(now) {
-            log::warn!("datagram not understood", kv: {
+            log::warn!("invalid datagram dropped", kv: {
                 length_bytes, left_out, error = error.to_string(),
             });
         }
@@ -103,19 +105,19 @@
 }
 
 impl Datagram {
-    /// Gets the bytes to send.
+    /// Encodes the datagram.
     pub fn to_bytes(&self) -> Result<bytes::Bytes> {
-        // A datagram has its own length, so the prefix of a stream's frames is left out.
+        // A datagram has a length of its own, so the length prefix of stream frames is omitted.
         Ok(encode(self)?.slice(PREFIX_BYTES..))
     }
 
-    /// Tells whether it concerns a rank of this group. Ranks of other groups of the same service have the
-    /// same numbers, and what they say must not be taken for what the own group's ranks say.
-    pub fn concerns(&self, own: Option<GroupId>) -> bool {
+    /// Whether a rank of this group accepts the datagram. Ranks of other groups of the same service
+    /// have the same numbers, and their messages must not be taken for those of the own group.
+    pub fn is_for_group(&self, own: Option<GroupId>) -> bool {
         self.group.is_none() || self.group == own
     }
 
-    /// Reads a datagram's bytes.
+    /// Decodes a datagram.
     pub fn parse(bytes: &[u8]) -> Result<Self> {
         decode(bytes)
     }
--- a/grebedeck/src/rank/obstacle.rs
+++ b/grebedeck/src/rank/obstacle.rs
@@ -1,28 +1,28 @@
-//! Why a leader makes no plans, for whoever asks afterwards why streams were late.
+//! Records why a leader can make no plans, which later explains skewed placements and slow streams.
 
 use std::time::Duration;
 
 use grebedeck_core::{Moment, Rank};
 use grebedeck_experts::rollout::PlanBlock;
 
-/// How long a leader has to be without the possibility of a plan before it says so: a rollout takes some 0.3 s, and a
-/// leadership begins with nobody following.
-const TOLD_AFTER: Duration = Duration::from_secs(1);
+/// Time without a possible plan after which the reason is reported. A rollout takes about 0.3 s,
+/// and at the start of a leadership no rank follows yet.
+const REPORT_DELAY: Duration = Duration::from_secs(1);
 
-/// Why a leader may not plan.
+/// Reason why a leader can make no plan.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Obstacle {
-    /// The engine's figures are not known.
+    /// The engine's specification has not been read from the configuration yet.
     EngineUnknown,
     /// The placement in use is not known.
     PlacementUnknown,
-    /// The rollout is not ready for a plan.
+    /// The rollout cannot start a plan.
     Rollout(PlanBlock),
 }
 
 impl Obstacle {
-    /// Gets a short word for logs and counters.
-    pub fn word(self) -> &'static str {
+    /// Short name in logs and metrics.
+    pub fn label(self) -> &'static str {
         match self {
             Obstacle::EngineUnknown => "engine_unknown",
             Obstacle::PlacementUnknown => "placement_unknown",
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Gets the rank that it lies with, where it is one.
+    /// The rank that is the cause, if it is a single one.
     pub fn rank(self) -> Option<Rank> {
         match self {
             Obstacle::Rollout(PlanBlock::NotFollowing { rank } | PlanBlock::Bound { rank }) => {
@@ -43,48 +43,49 @@
     }
 }
 
-/// What is to be told of obstacles.
+/// Change to report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ObstacleNews {
-    /// For some time no plan has been possible, now for this reason.
+pub enum ObstacleChange {
+    /// No plan has been possible for some time; the current reason.
     Blocked(Obstacle),
-    /// Plans are possible again, after this time without.
+    /// Plans are possible again; the time for which none was.
     Cleared(Duration),
 }
 
-/// Follows whether plans are possible, and says what is worth telling.
+/// Tracks whether plans are possible, and decides what to report.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct ObstacleWatch {
+pub struct ObstacleTracker {
     since: Option<Moment>,
-    told: Option<&'static str>,
+    reported: Option<&'static str>,
 }
 
-impl ObstacleWatch {
-    /// Notes why no plan is possible now, or that one is; gives what is to be told.
-    pub fn note(&mut self, obstacle: Option<Obstacle>, now: Moment) -> Option<ObstacleNews> {
+impl ObstacleTracker {
+    /// Records the current obstacle, if any; returns the change to report. Each reason is reported
+    /// once until plans are possible again.
+    pub fn record(&mut self, obstacle: Option<Obstacle>, now: Moment) -> Option<ObstacleChange> {
         let Some(obstacle) = obstacle else {
             let since = self.since.take();
-            let was_told = self.told.take().is_some();
+            let was_reported = self.reported.take().is_some();
 
-            return since.filter(|_| was_told).map(|at| ObstacleNews::Cleared(now - at));
+            return since.filter(|_| was_reported).map(|at| ObstacleChange::Cleared(now - at));
         };
         let since = *self.since.get_or_insert(now);
 
-        if now < since + TOLD_AFTER || self.told == Some(obstacle.word()) {
+        if now < since + REPORT_DELAY || self.reported == Some(obstacle.label()) {
             return None;
         }
 
-        self.told = Some(obstacle.word());
-        Some(ObstacleNews::Blocked(obstacle))
+        self.reported = Some(obstacle.label());
+        Some(ObstacleChange::Blocked(obstacle))
     }
 
-    /// Gets the word for what is in the way, once it has been told.
-    pub fn told(&self) -> Option<&'static str> {
-        self.told
+    /// Label of the current obstacle, once it has been reported.
+    pub fn reported(&self) -> Option<&'static str> {
+        self.reported
     }
 
-    /// Forgets all, as the node leads no more.
-    pub fn forget(&mut self) {
-        *self = ObstacleWatch::default();
+    /// Clears the state when the node no longer leads.
+    pub fn reset(&mut self) {
+        *self = ObstacleTracker::default();
     }
 }
--- a/grebedeck/src/rank/options.rs
+++ b/grebedeck/src/rank/options.rs
@@ -8,85 +8,88 @@
 
 use crate::settings::Check;
 
-/// How often the engine is read while no plan is under way.
+/// Interval between reads of the engine while no plan is in progress.
 pub const IDLE_POLL: Duration = Duration::from_millis(130);
-/// How often the engine is read while a plan is under way: a fraction of a pass.
+/// Interval between reads of the engine while a plan is in progress: a fraction of a pass.
 pub const BUSY_POLL: Duration = Duration::from_millis(20);
-/// How often the engine is read while its group forms, and chosen experts are counted until the first placement of a
-/// group is in use: less than a pass, as streams run at the skew of the dealt experts until then.
-pub const OPENING_POLL: Duration = Duration::from_millis(40);
-/// How long a call to an engine may take before it counts as unanswered; usually it takes a
-/// millisecond or two.
-pub const ENGINE_LIMIT: Duration = Duration::from_millis(150);
-/// How often a rank of a small group tells its load: gateways send a request or two to it meanwhile.
+/// Interval between reads of the engine while its group forms, and between reads of its counts
+/// until the group uses its first planned placement. Shorter than a pass, because streams run at
+/// the skew of the initial placement until then.
+pub const FORMING_POLL: Duration = Duration::from_millis(40);
+/// Timeout of a call to an engine. A call usually takes a millisecond or two.
+pub const ENGINE_TIMEOUT: Duration = Duration::from_millis(150);
+/// Interval at which a rank of a small group sends its load; a gateway sends it one or two requests
+/// in that time.
 const LOAD_PERIOD: Duration = Duration::from_millis(125);
-/// Least time between two loads that a gateway hears, where it deals with all ranks of a group. Older loads leave requests
-/// waiting behind others while places are free.
-const LOAD_SPACING: Duration = Duration::from_millis(1);
-/// How long a gateway is told the load after it asked.
-pub const WATCH_LIFETIME: Duration = Duration::from_millis(3500);
-/// Pause between two readings of the list of targets while some nodes are not known.
-pub const LIST_PAUSE: Duration = Duration::from_millis(1000);
-/// Longest time that a stopping process goes on with a plan that is under way.
-pub const STOP_LIMIT: Duration = Duration::from_secs(2);
+/// Minimum time between two loads that a gateway receives if it uses all ranks of a group. With
+/// staler loads, requests wait behind others although slots are free elsewhere.
+const MIN_LOAD_SPACING: Duration = Duration::from_millis(1);
+/// Time for which a gateway receives the load after each request for it.
+pub const WATCH_DURATION: Duration = Duration::from_millis(3500);
+/// Pause between two reads of the target list or the configuration while something is missing.
+pub const STORE_READ_PAUSE: Duration = Duration::from_millis(1000);
+/// Maximum time for which a stopping process continues a plan that is in progress.
+pub const STOP_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Gets how often a rank of a group of this size tells its load.
+/// Interval at which a rank of a group of this size sends its load.
 pub fn load_period(ranks: u16) -> Duration {
-    LOAD_PERIOD.max(LOAD_SPACING * u32::from(ranks))
+    LOAD_PERIOD.max(MIN_LOAD_SPACING * u32::from(ranks))
 }
 
 /// Settings of a rank process.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RankSettings {
-    /// The process's name.
+    /// Name of the process.
     pub name: String,
-    /// The data hall that it stands in.
+    /// Data hall of the process.
     pub hall: String,
-    /// The address of this instance.
+    /// Address of this instance.
     pub ip: IpAddr,
-    /// The target beside which it stands.
+    /// Address of the target that the process runs beside.
     pub target_address: SocketAddr,
-    /// The target's service.
+    /// Service of the target.
     pub service: String,
-    /// The port on which the rank processes of all instances take datagrams.
+    /// Port on which the rank processes of all instances receive datagrams.
     pub group_port: u16,
-    /// Where it shows its metrics and its state.
+    /// Address of the pages with its metrics and its state.
     pub metrics_address: SocketAddr,
-    /// The platform's store.
+    /// Address of the platform's store.
     pub store_address: SocketAddr,
-    /// How long the store may be silent, before an answer and within it.
+    /// Maximum time without data from the store, before and within a response, in milliseconds.
     #[serde(default = "defaults::store_limit_ms")]
     pub store_limit_ms: u64,
-    /// When placements are changed.
+    /// Conditions for a change of the placement.
     #[serde(default)]
     pub balance: BalanceSettings,
 }
 
-/// When placements are changed.
+/// Conditions for a change of the placement.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct BalanceSettings {
-    /// How often chosen experts are counted.
+    /// Interval between reads of the engine's token counts, in milliseconds.
     pub count_ms: u64,
-    /// How often a new placement is considered.
+    /// Interval between searches for a better placement, in milliseconds.
     pub plan_ms: u64,
-    /// Least time between two changes.
+    /// Minimum time between two changes, in milliseconds.
     pub pause_ms: u64,
-    /// Load of the busiest rank, relative to the mean, above which the placement is changed.
+    /// Load of the busiest rank relative to the mean above which the placement is changed.
     pub trigger_skew: f32,
-    /// Load of the busiest rank, relative to the mean, that is good enough.
+    /// Load of the busiest rank relative to the mean at which the search for a better placement
+    /// ends.
     pub target_skew: f32,
-    /// Least gain in skew that is worth the copy of one expert.
+    /// Minimum gain in skew per copied expert.
     pub min_gain_per_copy: f32,
-    /// How long a rank may copy for one placement, over all sets; one expert is always allowed. All ranks
-    /// wait for the one that copies most, and passes are longer meanwhile.
+    /// Maximum time for which a rank copies weights for one placement, over all sets, in
+    /// milliseconds; one expert is always allowed. All ranks wait for the one that copies most, and
+    /// passes take longer meanwhile.
     pub copy_limit_ms: u64,
 }
 
 impl Default for BalanceSettings {
     fn default() -> Self {
-        // A group that is far from its limits gains little from a lower skew, and copies cost.
+        // A group far from its limits gains little from a lower skew, and copies have a cost.
         BalanceSettings {
             count_ms: 150,
             plan_ms: 50,
--- a/grebedeck/src/rank/planning.rs
+++ b/grebedeck/src/rank/planning.rs
@@ -1,4 +1,5 @@
-//! What a leader plans, from counts of chosen experts, and why it plans nothing.
+//! Planning by the leader: when it searches for a better placement, and the counts that the ranks
+//! send it for that.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,25 +13,26 @@
 
 use super::driver::Driver;
 use super::message::Body;
-use super::obstacle::{Obstacle, ObstacleNews};
-use super::options::OPENING_POLL;
+use super::obstacle::{Obstacle, ObstacleChange};
+use super::options::FORMING_POLL;
 use crate::settings::millis;
 
 impl<S: SiteStore, E: RankEngine> Driver<S, E> {
-    /// Has the leader look for a better placement.
+    /// Searches for a better placement and proposes it, if this node leads.
     pub(super) async fn plan(&mut self, now: Moment) {
         if !self.node.is_leading() {
-            self.obstacles.forget();
+            self.obstacles.reset();
             return;
         }
 
-        // A new plan would hold the process up, and whoever takes the lead next begins with one.
-        if self.stop_by.is_some() {
+        // A stopping process would have to wait for a new plan. The next leader starts with one
+        // anyway.
+        if self.stop_deadline.is_some() {
             return;
         }
 
         let obstacle = self.obstacle(now);
-        self.note_obstacle(obstacle, now);
+        self.update_obstacle(obstacle, now);
 
         if obstacle.is_some() {
             return;
@@ -53,40 +55,40 @@
             copies = change.copies,
         });
         let actions = self.node.propose(change.placement, now);
-        self.carry_out(actions).await;
+        self.execute(actions).await;
     }
 
-    /// Gets why a leader may make no plan now.
+    /// Reason why the leader can make no plan now, if any.
     fn obstacle(&self, now: Moment) -> Option<Obstacle> {
         if let Some(block) = self.node.plan_block(now) {
             return Some(Obstacle::Rollout(block));
         }
 
-        if !self.balance.knows_engine() {
+        if !self.balance.has_engine_spec() {
             return Some(Obstacle::EngineUnknown);
         }
 
         self.node.placement_in_use().is_none().then_some(Obstacle::PlacementUnknown)
     }
 
-    /// Logs when plans have become impossible for some time, and when they are possible again.
-    fn note_obstacle(&mut self, obstacle: Option<Obstacle>, now: Moment) {
-        match self.obstacles.note(obstacle, now) {
-            Some(ObstacleNews::Blocked(obstacle)) => {
+    /// Logs when no plan has been possible for some time, and when plans are possible again.
+    fn update_obstacle(&mut self, obstacle: Option<Obstacle>, now: Moment) {
+        match self.obstacles.record(obstacle, now) {
+            Some(ObstacleChange::Blocked(obstacle)) => {
                 let rank = obstacle.rank().map_or(-1, i64::from);
-                self.counters.obstacles.add(obstacle.word());
-                log::warn!("no plan possible", kv: { reason = obstacle.word(), rank });
+                self.counters.obstacles.add(obstacle.label());
+                log::warn!("no plan possible", kv: { reason = obstacle.label(), rank });
             }
-            Some(ObstacleNews::Cleared(lasted)) => {
+            Some(ObstacleChange::Cleared(lasted)) => {
                 log::info!("plans possible", kv: { after_ms = lasted.as_millis() as u64 });
             }
             None => {}
         }
     }
 
-    pub(super) fn keep_first_placement(&mut self, ranks: u16) {
-        if let Some(first) = self.balance.first_placement(ranks) {
-            self.node.store_placement(INITIAL_PLACEMENT, Arc::new(first));
+    pub(super) fn store_initial_placement(&mut self, ranks: u16) {
+        if let Some(initial) = self.balance.initial_placement(ranks) {
+            self.node.store_placement(INITIAL_PLACEMENT, Arc::new(initial));
         }
     }
 
@@ -105,17 +107,17 @@
         }
 
         if self.node.is_leading() {
-            self.balance.count(&report);
+            self.balance.record_counts(&report);
         } else if let Some(leader) = self.node.leader().copied() {
             self.send(leader, Body::Counts(report)).await;
         }
     }
 
-    /// Gets how soon the engine's counts are read again.
+    /// Interval until the next read of the engine's counts.
     pub(super) fn count_period(&self) -> Duration {
         let usual = millis(self.settings.balance.count_ms);
-        let is_dealt = self.node.report().is_some_and(|r| r.placement == INITIAL_PLACEMENT);
+        let is_initial = self.node.report().is_some_and(|r| r.placement == INITIAL_PLACEMENT);
 
-        if is_dealt { usual.min(OPENING_POLL) } else { usual }
+        if is_initial { usual.min(FORMING_POLL) } else { usual }
     }
 }
--- a/grebedeck/src/rank/rested.rs
+++ b/grebedeck/src/rank/rested.rs
@@ -1,7 +1,8 @@
-//! Engines that want to be left alone.
+//! Honours the delays that engines request.
 //!
-//! An engine may turn a control call away and ask for rest. Reports are read some fifty times a second, so without this
-//! an engine that asks for three seconds of rest would get over a hundred calls in them.
+//! An engine may refuse a control call and request a delay before the next one. Reports are read
+//! about fifty times a second, so without this wrapper an engine that requests three seconds would
+//! receive over a hundred calls in that time.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -15,77 +16,80 @@
 use grebedeck_kernel::log::LineBudget;
 use grebedeck_kernel::{Clock, log};
 
-/// Engines whose rest is remembered: more than the ranks of a group.
-const MAX_REMEMBERED: usize = 1024;
+/// Number of remembered delays from which on expired ones are removed: more than a group has ranks.
+const MAX_DELAYS: usize = 1024;
 
-/// Lines a second on engines that rest: one that asks for none of it may be asked fifty times.
+/// Maximum rate of log lines: an engine that requests very short delays may do so fifty times a
+/// second.
 const LINES_PER_S: f64 = 2.0;
 
-/// Rests that engines have asked for, by address.
-type Rests = BTreeMap<SocketAddr, RetryAfter>;
+/// Requested delays, by address of the engine.
+type Delays = BTreeMap<SocketAddr, RetryAfter>;
 
-/// An engine that is not called in the rest that it asks for.
+/// Engine client that does not call an engine while a delay that it requested is active.
 #[derive(Clone)]
-pub struct Rested<E> {
+pub struct RetryAfterEngine<E> {
     engine: E,
     address: SocketAddr,
     clock: Clock,
-    rests: Rc<RefCell<Rests>>,
+    delays: Rc<RefCell<Delays>>,
     lines: Rc<RefCell<LineBudget>>,
 }
 
-impl<E: RankEngine> Rested<E> {
-    /// Takes the engine at an address, of which nothing is known yet.
+impl<E: RankEngine> RetryAfterEngine<E> {
+    /// Wraps the client of the engine at an address.
     pub fn new(engine: E, address: SocketAddr) -> Self {
         let lines = Rc::new(RefCell::new(LineBudget::new(LINES_PER_S)));
 
-        Rested { engine, address, clock: Clock::default(), rests: Rc::default(), lines }
+        RetryAfterEngine { engine, address, clock: Clock::default(), delays: Rc::default(), lines }
     }
 
-    /// Fails where the engine rests.
+    /// Returns [`Error::Resting`] if a requested delay is active.
     fn check(&self) -> Result<()> {
         let now = self.clock.now();
-        let left = self.rests.borrow().get(&self.address).map(|rest| rest.remaining(now));
+        let remaining = self.delays.borrow().get(&self.address).map(|delay| delay.remaining(now));
 
-        match left.filter(|left| !left.is_zero()) {
-            Some(left) => Err(Error::Resting(left)),
+        match remaining.filter(|remaining| !remaining.is_zero()) {
+            Some(remaining) => Err(Error::Resting(remaining)),
             None => Ok(()),
         }
     }
 
-    fn note(&self, error: Option<&Error>) {
-        let Some(Error::Resting(asked)) = error else {
+    fn record_delay(&self, error: Option<&Error>) {
+        let Some(Error::Resting(requested)) = error else {
             return;
         };
         let now = self.clock.now();
-        let mut rests = self.rests.borrow_mut();
+        let mut delays = self.delays.borrow_mut();
 
-        if rests.len() >= MAX_REMEMBERED {
-            rests.retain(|_, rest| rest.is_active(now));
+        if delays.len() >= MAX_DELAYS {
+            delays.retain(|_, delay| delay.is_active(now));
         }
 
-        let rest = rests.entry(self.address).or_default();
+        let delay = delays.entry(self.address).or_default();
 
-        if !rest.is_active(now) && self.lines.borrow_mut().take(now) {
-            let rest_ms = asked.as_millis() as u64;
-            log::warn!("engine rests", kv: { address = self.address.to_string(), rest_ms });
+        if !delay.is_active(now) && self.lines.borrow_mut().take(now) {
+            let rest_ms = requested.as_millis() as u64;
+            log::warn!("engine requested a delay", kv: {
+                address = self.address.to_string(), rest_ms,
+            });
         }
 
-        rest.extend(*asked, now);
+        delay.extend(*requested, now);
     }
 
     async fn call<T>(&self, call: impl Future<Output = Result<T>>) -> Result<T> {
         self.check()?;
         let result = call.await;
-        self.note(result.as_ref().err());
+        self.record_delay(result.as_ref().err());
 
         result
     }
 }
 
-impl<E: RankEngine> RankEngine for Rested<E> {
+impl<E: RankEngine> RankEngine for RetryAfterEngine<E> {
     fn at(&self, address: SocketAddr) -> Self {
-        Rested { engine: self.engine.at(address), address, ..self.clone() }
+        RetryAfterEngine { engine: self.engine.at(address), address, ..self.clone() }
     }
 
     async fn report(&self) -> Result<RankReport> {
@@ -101,7 +105,7 @@
     }
 
     async fn order(&self, order: &RankOrder) -> Result<OrderOutcome> {
-        // A pass that is not let go keeps the whole group waiting, however long this engine rests.
+        // A pass that is not released stalls the whole group, so this order ignores the delay.
         if matches!(order.action, RankAction::Release { .. }) {
             return self.engine.order(order).await;
         }
--- a/grebedeck/src/rank/show.rs
+++ b/grebedeck/src/rank/show.rs
@@ -1,4 +1,4 @@
-//! What a rank process shows of itself: log lines on decisions, metrics and state.
+//! The pages with a rank process's metrics and state, and the log lines of its decisions.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -19,37 +19,37 @@
     metrics: Metrics,
     state: Rc<RefCell<Value>>,
 ) {
-    let answer = async move |request: &RequestHead| match request.path() {
+    let handler = async move |request: &RequestHead| match request.path() {
         "/metrics" => Page::text(metrics.text()),
         "/dump" => Page::json(&state.borrow()),
         _ => Page::empty(404),
     };
 
-    pages::serve(tasks, listener, answer).await;
+    pages::serve(tasks, listener, handler).await;
 }
 
-/// Logs what a node has decided or found.
-pub fn log_note(note: RankEvent) {
-    match note {
+/// Logs an event of the node.
+pub fn log_event(event: RankEvent) {
+    match event {
         RankEvent::LeadershipTaken(term) => {
-            log::info!("leads the group", kv: { round = term.round })
+            log::info!("leadership taken", kv: { round = term.round })
         }
         RankEvent::LeaderFollowed(term) => {
-            log::info!("follows a leader", kv: { round = term.round, rank = term.rank });
+            log::info!("leader followed", kv: { round = term.round, rank = term.rank });
         }
-        RankEvent::Resigned { next } => log::info!("hands the lead on", kv: { next }),
+        RankEvent::Resigned { next } => log::info!("leadership resigned", kv: { next }),
         RankEvent::PlanResumed { placement_no } => {
-            log::info!("goes on with a placement", kv: { placement_no });
+            log::info!("placement resumed", kv: { placement_no });
         }
         RankEvent::RemoteAccessStarted { rank } => {
-            log::warn!("acts for a silent rank", kv: { rank })
+            log::warn!("remote access to rank started", kv: { rank })
         }
         RankEvent::RemoteAccessEnded { rank } => {
-            log::info!("acts for a rank no more", kv: { rank })
+            log::info!("remote access to rank ended", kv: { rank })
         }
         RankEvent::EpochChanged(epoch) => log::info!("group formed", kv: { epoch }),
         RankEvent::HoldRequested { placement_no, pass, holder } => {
-            log::info!("pass to be held", kv: { placement_no, pass, holder });
+            log::info!("hold requested", kv: { placement_no, pass, holder });
         }
         RankEvent::PlacementInUse { placement_no, pass } => {
             log::info!("placement in use", kv: { placement_no, pass });
@@ -60,7 +60,7 @@
         RankEvent::HeldPassFound { pass } => log::warn!("held pass found", kv: { pass }),
         RankEvent::PassReleased { pass, placement_no, held_for } => {
             let (held_ms, armed_no) = (held_for.as_millis() as u64, placement_no.unwrap_or(0));
-            log::info!("pass let go", kv: { pass, armed_no, held_ms });
+            log::info!("pass released", kv: { pass, armed_no, held_ms });
         }
     }
 }
--- a/grebedeck/tests/copies.rs
+++ b/grebedeck/tests/copies.rs
@@ -1,4 +1,4 @@
-//! How many experts a rank may copy for one placement.
+//! Maximum number of experts that a rank copies for one placement.
 
 use std::time::Duration;
 
@@ -23,16 +23,17 @@
     }
 }
 
-/// One copy a rank was right where it takes 0.4 s; where it takes 2.6 ms it left a skew of 1.77 where 1.40 can be had.
+/// A limit of one copy per rank suits copies that take 0.4 s. With copies of 2.6 ms it left a skew
+/// of 1.77, although 1.40 was possible.
 #[test]
-fn as_many_as_fit_into_the_time_for_copies() {
+fn copies_are_limited_by_the_time_for_them() {
     assert_eq!(max_copies(LIMIT, &spec(Duration::from_millis(400))), 1);
     assert_eq!(max_copies(LIMIT, &spec(Duration::from_micros(5_800))), 6);
     assert_eq!(max_copies(LIMIT, &spec(Duration::from_micros(2_600))), 15);
 }
 
 #[test]
-fn never_more_than_engines_take_and_one_where_the_time_is_not_known() {
+fn copies_are_limited_by_the_spare_slots_and_to_one_if_their_duration_is_unknown() {
     assert_eq!(max_copies(LIMIT, &spec(Duration::from_micros(10))), 20);
     assert_eq!(max_copies(LIMIT, &spec(Duration::ZERO)), 1);
 }
--- a/grebedeck/tests/datagrams.rs
+++ b/grebedeck/tests/datagrams.rs
@@ -13,18 +13,19 @@
     Datagram { from, group, body: Body::Watch }
 }
 
-/// Two groups of one service have the same rank numbers. Taken for its own, another group's answer that it is
-/// armed would have let a pass go with two placements.
+/// Two groups of one service use the same rank numbers. If a holder took another group's
+/// confirmation that a rank is armed for one of its own group, it would release a pass that begins
+/// with two placements.
 #[test]
-fn a_rank_hears_its_own_group_and_gateways_only() {
-    assert!(datagram(Some(1)).concerns(Some(1)));
-    assert!(datagram(None).concerns(Some(1)), "gateways are in no group");
-    assert!(!datagram(Some(2)).concerns(Some(1)));
-    assert!(!datagram(Some(2)).concerns(None), "the own group is not known yet");
+fn a_rank_accepts_datagrams_of_its_own_group_and_of_gateways_only() {
+    assert!(datagram(Some(1)).is_for_group(Some(1)));
+    assert!(datagram(None).is_for_group(Some(1)), "gateways belong to no group");
+    assert!(!datagram(Some(2)).is_for_group(Some(1)));
+    assert!(!datagram(Some(2)).is_for_group(None), "own group not known yet");
 }
 
 #[test]
-fn a_datagram_is_read_as_it_was_written() {
+fn an_encoded_datagram_decodes_to_the_same_value() {
     let load = RankLoad {
         group: 7,
         running: 3,
@@ -34,10 +35,10 @@
         slowdown: 1.5,
         born_ms: None,
     };
-    let written = Datagram { body: Body::Load(load), ..datagram(Some(7)) };
-    let bytes = written.to_bytes().expect("it always serializes");
+    let sent = Datagram { body: Body::Load(load), ..datagram(Some(7)) };
+    let bytes = sent.to_bytes().expect("a datagram always serializes");
 
-    assert_eq!(Datagram::parse(&bytes).expect("its own bytes"), written);
+    assert_eq!(Datagram::parse(&bytes).expect("bytes of an encoded datagram"), sent);
     assert!(Datagram::parse(&bytes[..3]).is_err());
 }
 
@@ -46,7 +47,7 @@
 
     /// Any host can send to the port.
     #[test]
-    fn bytes_of_strangers_are_dropped_or_read_and_never_stop_the_process(
+    fn arbitrary_bytes_never_cause_a_panic(
         bytes in prop::collection::vec(any::<u8>(), 0..2000),
     ) {
         let mut reader = DatagramReader::default();
@@ -54,13 +55,13 @@
     }
 
     #[test]
-    fn a_datagram_that_was_cut_is_dropped(cut in 1..20usize) {
+    fn a_truncated_datagram_is_dropped(cut in 1..20usize) {
         let load = RankLoad {
             group: 7, running: 3, waiting: 1, formation: 2, is_open: true, slowdown: 1.5,
             born_ms: Some(5),
         };
-        let written = Datagram { body: Body::Load(load), ..datagram(Some(7)) };
-        let bytes = written.to_bytes().expect("it always serializes");
+        let sent = Datagram { body: Body::Load(load), ..datagram(Some(7)) };
+        let bytes = sent.to_bytes().expect("a datagram always serializes");
         let kept = bytes.len().saturating_sub(cut);
 
         prop_assert!(DatagramReader::default().read(&bytes[..kept], Duration::ZERO).is_none());
--- a/grebedeck/tests/rested.rs
+++ b/grebedeck/tests/rested.rs
@@ -1,31 +1,31 @@
-//! Rank processes leave engines alone that ask for rest.
+//! Rank processes honour the delays that engines request.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 
-use grebedeck::rank::rested::Rested;
+use grebedeck::rank::rested::RetryAfterEngine;
 use grebedeck_core::{Error, Expert, Result};
 use grebedeck_experts::engine::PlacementNo;
 use grebedeck_experts::{OrderOutcome, RankAction, RankCounts, RankEngine, RankOrder, RankReport};
 
-const REST: Duration = Duration::from_millis(60);
+const DELAY: Duration = Duration::from_millis(60);
 
-/// An engine that turns every call away.
+/// Engine that refuses every call and requests a delay.
 #[derive(Clone, Default)]
-struct Tired {
+struct RefusingEngine {
     calls: Rc<Cell<u32>>,
 }
 
-impl Tired {
+impl RefusingEngine {
     fn refuse<T>(&self) -> Result<T> {
         self.calls.set(self.calls.get() + 1);
-        Err(Error::Resting(REST))
+        Err(Error::Resting(DELAY))
     }
 }
 
-impl RankEngine for Tired {
+impl RankEngine for RefusingEngine {
     fn at(&self, _: SocketAddr) -> Self {
         self.clone()
     }
@@ -52,10 +52,10 @@
 }
 
 #[test]
-fn an_engine_that_asks_for_rest_gets_no_calls_but_to_let_a_pass_go() {
-    let tired = Tired::default();
-    let calls = tired.calls.clone();
-    let engine = Rested::new(tired, address(1));
+fn an_engine_that_requested_a_delay_receives_no_calls_except_to_release_a_pass() {
+    let refusing = RefusingEngine::default();
+    let calls = refusing.calls.clone();
+    let engine = RetryAfterEngine::new(refusing, address(1));
     let order = |action| RankOrder { epoch: 1, action };
 
     async_std::task::block_on(async {
@@ -63,7 +63,7 @@
             assert!(matches!(engine.report().await, Err(Error::Resting(_))));
             assert!(engine.counts().await.is_err() && engine.part().await.is_err());
             assert!(engine.order(&order(RankAction::Hold { pass: 3 })).await.is_err());
-            // The same engine by its address.
+            // The same engine, selected by its address.
             assert!(engine.at(address(1)).report().await.is_err());
         }
 
@@ -73,7 +73,7 @@
         let _ = engine.at(address(2)).report().await;
         assert_eq!(calls.get(), 3, "another engine");
 
-        async_std::task::sleep(REST * 2).await;
+        async_std::task::sleep(DELAY * 2).await;
         let _ = engine.report().await;
         assert_eq!(calls.get(), 4);
     });
