--- a/grebedeck/src/agent.rs
+++ b/grebedeck/src/agent.rs
@@ -1,4 +1,6 @@
-//! The agent: stands beside one target and is the gate in front of it.
+//! The agent, which runs beside one target and passes every attempt through the target's gate. If
+//! the target has an engine, the agent is also a member of a group and takes part in the group's
+//! switches of expert maps.
 
 pub mod balance;
 pub mod crashes;
@@ -16,16 +18,16 @@
 use group::GroupService;
 pub use service::AgentService;
 
-/// How long a connection to a peer or the target may take to be made.
-const CONNECT_LIMIT_MS: u64 = 500;
+/// Timeout for connecting to a peer or the target.
+const CONNECT_TIMEOUT_MS: u64 = 500;
 
 /// A running agent.
 pub struct Agent {
-    /// The process's services.
+    /// Services of the process.
     pub kernel: Kernel,
-    /// Its settings, with the ports that it got.
+    /// Settings, with the ports that were bound.
     pub settings: AgentSettings,
-    /// This life of the process.
+    /// Incarnation of the process.
     pub incarnation: Incarnation,
     tasks: Vec<async_std::task::JoinHandle<()>>,
 }
@@ -33,8 +35,8 @@
 impl Agent {
     /// Starts an agent; it listens when this returns.
     pub async fn try_new(mut settings: AgentSettings) -> anyhow::Result<Agent> {
-        let connect_limit = millis(CONNECT_LIMIT_MS);
-        let process = Process::try_new(Role::Agent, &mut settings.common, connect_limit).await?;
+        let connect_timeout = millis(CONNECT_TIMEOUT_MS);
+        let process = Process::try_new(Role::Agent, &mut settings.common, connect_timeout).await?;
         let (kernel, clock, incarnation) =
             (process.kernel.clone(), process.clock, process.incarnation);
 
@@ -63,7 +65,7 @@
         Ok(Agent { kernel, settings, incarnation, tasks })
     }
 
-    /// Ends all tasks at once; work in flight is cut off unless it was drained before.
+    /// Cancels all tasks at once; work in flight is cut off unless it was drained before.
     pub async fn stop(self) {
         process::cancel(self.tasks).await;
     }
--- a/grebedeck/src/agent/balance.rs
+++ b/grebedeck/src/agent/balance.rs
@@ -1,4 +1,5 @@
-//! Counters in, plans out: what the first member of a group knows of the group's load.
+//! The balancer of a group's first member: it estimates the load of experts from the members' token
+//! counts and plans the group's maps.
 
 use grebedeck_core::{Layer, Moment, Rank, Step};
 use grebedeck_experts::counter::{decode_count, encode_count};
@@ -10,33 +11,33 @@
 use crate::message::GroupCounts;
 use crate::settings::BalanceSettings;
 
-/// Shape of a group's model and ranks, as an engine tells it.
+/// Dimensions of a group's model and ranks, as an engine reports them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Shape {
+struct Dimensions {
     ranks: Rank,
     experts: u16,
     layers: Layer,
     slots_per_rank: u16,
 }
 
-/// Follows the group's load and plans its maps.
-pub struct Balance {
+/// Estimates the group's load and plans its maps.
+pub struct GroupBalancer {
     settings: BalanceSettings,
     planner: Planner,
     budget: ChangeBudget,
-    shape: Option<Shape>,
-    first_map: Option<ExpertMap>,
+    dimensions: Option<Dimensions>,
+    initial_map: Option<ExpertMap>,
     popularity: Option<Popularity>,
     rank_costs: Vec<f32>,
     last_counts: Vec<Vec<u64>>,
-    /// Counts of all members since the last observation.
-    gathered: Vec<Vec<f32>>,
-    gathered_until: Step,
+    /// Counts of all members since the last update of the popularity, by layer and expert.
+    pending_counts: Vec<Vec<f32>>,
+    pending_until: Step,
     expected_skew: Option<f32>,
 }
 
-impl Balance {
-    /// Makes a balance that knows nothing yet.
+impl GroupBalancer {
+    /// Creates a balancer without data.
     pub fn new(settings: BalanceSettings) -> Self {
         let options = PlanOptions {
             skew_weight: settings.skew_weight,
@@ -45,51 +46,52 @@
             ..PlanOptions::default()
         };
 
-        Balance {
+        GroupBalancer {
             settings,
             planner: Planner::new(options),
             budget: ChangeBudget::default(),
-            shape: None,
-            first_map: None,
+            dimensions: None,
+            initial_map: None,
             popularity: None,
             rank_costs: Vec::new(),
             last_counts: Vec::new(),
-            gathered: Vec::new(),
-            gathered_until: 0,
+            pending_counts: Vec::new(),
+            pending_until: 0,
             expected_skew: None,
         }
     }
 
-    /// Gets the slowest rank's expected time over the mean, with the map in use.
+    /// Expected time of the slowest rank relative to the mean, with the map in use.
     pub fn expected_skew(&self) -> Option<f32> {
         self.expected_skew
     }
 
-    /// Gets the map that the group's engines start with, once one of them told the group's shape.
-    pub fn first_map(&self) -> Option<&ExpertMap> {
-        self.first_map.as_ref()
+    /// Map that the group's engines start with, once the group's dimensions are known.
+    pub fn initial_map(&self) -> Option<&ExpertMap> {
+        self.initial_map.as_ref()
     }
 
-    /// Gets what the engine has counted since it was read last.
-    pub fn since_last(&mut self, state: &EngineState) -> Option<GroupCounts> {
-        let shape = shape_of(state)?;
+    /// Returns the tokens that the engine counted since the previous call; `None` for the first
+    /// reading of an engine.
+    pub fn counts_since_last(&mut self, state: &EngineState) -> Option<GroupCounts> {
+        let dimensions = dimensions_of(state)?;
 
-        if self.shape != Some(shape) {
-            self.start(shape);
+        if self.dimensions != Some(dimensions) {
+            self.reset(dimensions);
         }
 
         let counts: Vec<Vec<u64>> = state.layers.iter().map(|l| l.tokens.clone()).collect();
         let last = std::mem::replace(&mut self.last_counts, counts);
 
-        // Counters that went back belong to an engine that was replaced.
-        if last.len() != self.last_counts.len() || went_back(&last, &self.last_counts) {
+        // Counters that decreased belong to an engine that replaced the previous one.
+        if last.len() != self.last_counts.len() || has_decreased(&last, &self.last_counts) {
             return None;
         }
 
-        let since = |(now, before): (&Vec<u64>, &Vec<u64>)| -> Vec<u8> {
+        let difference = |(now, before): (&Vec<u64>, &Vec<u64>)| -> Vec<u8> {
             now.iter().zip(before).map(|(n, b)| encode_count(n - b)).collect()
         };
-        let layers = self.last_counts.iter().zip(&last).map(since).enumerate();
+        let layers = self.last_counts.iter().zip(&last).map(difference).enumerate();
 
         Some(GroupCounts {
             until_step: state.next_step,
@@ -99,19 +101,27 @@
         })
     }
 
-    fn start(&mut self, shape: Shape) {
-        self.shape = Some(shape);
-        self.first_map =
-            Some(ExpertMap::spread(shape.ranks, shape.experts, shape.layers, shape.slots_per_rank));
-        self.popularity =
-            Some(Popularity::new(shape.layers, shape.experts, PopularityOptions::default()));
-        self.rank_costs = vec![1.0; usize::from(shape.ranks)];
-        self.gathered = vec![vec![0.0; usize::from(shape.experts)]; usize::from(shape.layers)];
+    fn reset(&mut self, dimensions: Dimensions) {
+        self.dimensions = Some(dimensions);
+        self.initial_map = Some(ExpertMap::spread(
+            dimensions.ranks,
+            dimensions.experts,
+            dimensions.layers,
+            dimensions.slots_per_rank,
+        ));
+        self.popularity = Some(Popularity::new(
+            dimensions.layers,
+            dimensions.experts,
+            PopularityOptions::default(),
+        ));
+        self.rank_costs = vec![1.0; usize::from(dimensions.ranks)];
+        self.pending_counts =
+            vec![vec![0.0; usize::from(dimensions.experts)]; usize::from(dimensions.layers)];
         self.last_counts.clear();
     }
 
-    /// Takes in a member's counts.
-    pub fn count(&mut self, counts: &GroupCounts) {
+    /// Records a member's counts.
+    pub fn record_counts(&mut self, counts: &GroupCounts) {
         for (rank, cost) in counts.ranks.iter().zip(&counts.rank_costs) {
             if let Some(known) = self.rank_costs.get_mut(usize::from(*rank)) {
                 *known = cost.clamp(0.1, 100.0);
@@ -119,24 +129,24 @@
         }
 
         for (layer, tokens) in &counts.layers {
-            let Some(gathered) = self.gathered.get_mut(usize::from(*layer)) else {
+            let Some(sums) = self.pending_counts.get_mut(usize::from(*layer)) else {
                 continue;
             };
 
-            for (sum, count) in gathered.iter_mut().zip(tokens) {
+            for (sum, count) in sums.iter_mut().zip(tokens) {
                 *sum += decode_count(*count);
             }
         }
 
-        self.gathered_until = self.gathered_until.max(counts.until_step);
+        self.pending_until = self.pending_until.max(counts.until_step);
     }
 
-    /// Gives a better map where one is worth its cost.
+    /// Returns a better map, if one is worth its cost.
     pub fn plan(&mut self, map: &ExpertMap, now: Moment) -> Option<Plan> {
         let popularity = self.popularity.as_mut()?;
 
-        for (layer, tokens) in self.gathered.iter_mut().enumerate() {
-            let until_step = self.gathered_until;
+        for (layer, tokens) in self.pending_counts.iter_mut().enumerate() {
+            let until_step = self.pending_until;
             popularity.observe(&LayerCounts { layer: layer as Layer, until_step, tokens });
             tokens.fill(0.0);
         }
@@ -157,10 +167,10 @@
     }
 }
 
-fn shape_of(state: &EngineState) -> Option<Shape> {
+fn dimensions_of(state: &EngineState) -> Option<Dimensions> {
     let experts = state.layers.first()?.tokens.len() as u16;
 
-    Some(Shape {
+    Some(Dimensions {
         ranks: state.group_ranks,
         experts,
         layers: state.layers.len() as Layer,
@@ -168,7 +178,7 @@
     })
 }
 
-fn went_back(before: &[Vec<u64>], now: &[Vec<u64>]) -> bool {
+fn has_decreased(before: &[Vec<u64>], now: &[Vec<u64>]) -> bool {
     before.iter().flatten().zip(now.iter().flatten()).any(|(b, n)| n < b)
 }
 
--- a/grebedeck/src/agent/crashes.rs
+++ b/grebedeck/src/agent/crashes.rs
@@ -1,6 +1,7 @@
-//! Crashes of the agent's target, told apart by number.
+//! Detects crashes of the agent's target and numbers them.
 //!
-//! All requests that a crash ends are told the same number, whichever entry they came from, so that entries count it once.
+//! All requests that one crash ends receive the same number, whichever entry sent them, so entries
+//! count the crash once.
 
 use std::time::Duration;
 
@@ -8,31 +9,32 @@
 use grebedeck_kernel::log;
 use grebedeck_routing::quarantine::ProbeResult;
 
-use super::CONNECT_LIMIT_MS;
+use super::CONNECT_TIMEOUT_MS;
 use super::service::AgentService;
 use crate::liveness;
 use crate::message::WorkVerdict;
 use crate::settings::millis;
 
-/// How long a new connection to the target has to stay open; an attempt that breaks is told that much later.
-const STAYS_OPEN: Duration = Duration::from_millis(20);
+/// Time for which a new connection must stay open to show that the target is alive. It delays the
+/// verdict on a broken attempt.
+const MIN_OPEN_TIME: Duration = Duration::from_millis(20);
 
-/// Crashes of a target so far.
+/// Number and time of the target's crashes.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Crashes {
+pub struct CrashCounter {
     count: u64,
-    newest: Moment,
+    latest: Moment,
 }
 
-impl Crashes {
-    /// Notes that the target crashed under a request that was sent to it at `sent_at`; gets the number of the crash, and
-    /// whether it is a new one.
-    pub fn note(&mut self, sent_at: Moment, now: Moment) -> (u64, bool) {
-        let is_new = self.count == 0 || sent_at > self.newest;
+impl CrashCounter {
+    /// Records a crash under a request that was sent at `sent_at`. Returns the number of the crash,
+    /// and whether it is a new one: a request sent before the latest known crash was ended by it.
+    pub fn record(&mut self, sent_at: Moment, now: Moment) -> (u64, bool) {
+        let is_new = self.count == 0 || sent_at > self.latest;
 
         if is_new {
             self.count += 1;
-            self.newest = now;
+            self.latest = now;
         }
 
         (self.count, is_new)
@@ -40,16 +42,16 @@
 }
 
 impl AgentService {
-    /// Gets what an entry is told of a request that was sent at `sent_at` and has no whole answer.
-    pub(super) async fn failure(&self, sent_at: Moment) -> WorkVerdict {
+    /// Verdict on a request that was sent at `sent_at` and has no complete answer.
+    pub(super) async fn failure_verdict(&self, sent_at: Moment) -> WorkVerdict {
         let address = self.target.address();
-        let (finding, _) = liveness::look(address, millis(CONNECT_LIMIT_MS), STAYS_OPEN).await;
+        let (result, _) = liveness::look(address, millis(CONNECT_TIMEOUT_MS), MIN_OPEN_TIME).await;
 
-        if finding != ProbeResult::Crashed {
+        if result != ProbeResult::Crashed {
             return WorkVerdict::TargetFailed;
         }
 
-        let (crash, is_new) = self.note_crash(sent_at);
+        let (crash, is_new) = self.record_crash(sent_at);
 
         if is_new {
             log::warn!("target crashed", kv: { crash });
--- a/grebedeck/src/agent/driver.rs
+++ b/grebedeck/src/agent/driver.rs
@@ -1,7 +1,8 @@
-//! Drives a member's switch protocol and, in the group's first member, its balance.
+//! The task of a group member: it runs the member's switch protocol and, in the first member, the
+//! coordinator and the balancer.
 //!
-//! Orders to the engine go out one after another, from one task. The pure machines decide; this
-//! module carries messages, orders and answers between them.
+//! The decisions are made in `grebedeck-experts`; this module passes messages, orders to the engine
+//! and their results between the two. One task sends all orders, one after another.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,42 +19,42 @@
 use grebedeck_net::platform::engine::{EngineAction, EngineOrder};
 use serde_json::json;
 
-use super::balance::Balance;
+use super::balance::GroupBalancer;
 use super::group::{Event, GroupService, Roster};
 use crate::message::{Control, ControlAnswer};
 use crate::settings::millis;
 
-/// How often the machines are told the time.
+/// Interval at which the member and the coordinator are polled for due work.
 const TICK: Duration = Duration::from_millis(50);
-/// Wait before an order that failed is given again.
-const ORDER_RETRY: Duration = Duration::from_millis(100);
+/// Pause before a failed order is sent again.
+const ORDER_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// The group's task.
+/// State of the task.
 pub(super) struct Driver<E> {
     service: Arc<GroupService>,
     engine: E,
     roster: Roster,
     member: Member,
     coordinator: Option<Coordinator>,
-    balance: Balance,
+    balance: GroupBalancer,
     proposed: Option<(MapVersion, MapDelta)>,
     next_step: Step,
     incarnation: Incarnation,
-    counts_at: Moment,
-    plan_at: Moment,
-    resumed: bool,
+    next_counts_at: Moment,
+    next_plan_at: Moment,
+    has_resumed: bool,
 }
 
 impl<E: Engine> Driver<E> {
-    /// Makes the task of a member that knows nothing of its group yet.
+    /// Creates the task of a member that has no state of its group yet.
     pub(super) fn new(service: Arc<GroupService>, engine: E, roster: Roster) -> Self {
         let now = service.clock.now();
         let size = roster.addresses.len();
-        // A member that starts without memory must not be taken for the one before it.
+        // A member that starts without state must be distinguishable from the one before it.
         let incarnation = service.next_incarnation();
         let options = MemberOptions::default();
         let member = Member::replacing(roster.own, size, incarnation, now, options);
-        let balance = Balance::new(service.settings.clone());
+        let balance = GroupBalancer::new(service.settings.clone());
         log::info!("group joined", kv: { group = roster.group.as_str(), members = size });
 
         Driver {
@@ -66,20 +67,21 @@
             proposed: None,
             next_step: 0,
             incarnation,
-            counts_at: now,
-            plan_at: now,
-            resumed: false,
+            next_counts_at: now,
+            next_plan_at: now,
+            has_resumed: false,
         }
     }
 
-    /// Runs until the configuration gives this member another place, or a successor has taken it.
+    /// Runs until the configuration changes this member's position in the group, or a successor has
+    /// replaced it.
     pub(super) async fn run(mut self) {
         let inbox = self.service.inbox.clone();
 
         loop {
             futures::select! {
                 event = inbox.recv().fuse() => match event {
-                    Ok(event) => self.take(event).await,
+                    Ok(event) => self.handle_event(event).await,
                     Err(_) => return,
                 },
                 _ = async_std::task::sleep(TICK).fuse() => {}
@@ -87,22 +89,22 @@
 
             self.tick().await;
 
-            if !self.keep_place() {
+            if !self.refresh_roster() {
                 return;
             }
         }
     }
 
-    /// Follows the configuration; tells whether this member's place is still the same.
-    fn keep_place(&mut self) -> bool {
+    /// Applies the configuration; returns whether this member still has its position.
+    fn refresh_roster(&mut self) -> bool {
         if self.member.is_replaced() {
             log::warn!("group member replaced", kv: { group = self.roster.group.as_str() });
             return false;
         }
 
         match self.service.find_roster() {
-            // A member that moved to another address is still the same member, or its successor.
-            Some(roster) if roster.is_like(&self.roster) => {
+            // A member whose address changed is still the same member, or its successor.
+            Some(roster) if roster.has_same_position(&self.roster) => {
                 self.roster = roster;
                 true
             }
@@ -113,56 +115,57 @@
         }
     }
 
-    async fn take(&mut self, event: Event) {
+    async fn handle_event(&mut self, event: Event) {
         match event {
-            Event::Counts(counts) => self.balance.count(&counts),
+            Event::Counts(counts) => self.balance.record_counts(&counts),
             Event::Message(message, map) => {
                 if let (Body::Prepare { version, base }, Some(delta)) = (&message.body, map) {
-                    // Without the base's map the proposal cannot be loaded, and comes again.
-                    if let Some(map) = self.map_in_use(*base).and_then(|m| m.apply_delta(&delta)) {
-                        self.service.keep_map(*version, map, self.member.current());
+                    // Without the base map the proposal cannot be loaded; the coordinator sends it
+                    // again.
+                    if let Some(map) = self.known_map(*base).and_then(|m| m.apply_delta(&delta)) {
+                        self.service.store_map(*version, map, self.member.current());
                     }
                 }
 
-                self.take_message(message).await;
+                self.handle_message(message).await;
             }
         }
     }
 
-    async fn take_message(&mut self, message: Message) {
+    async fn handle_message(&mut self, message: Message) {
         let now = self.service.clock.now();
 
         if let Some(coordinator) = &mut self.coordinator {
-            let orders = coordinator.receive(&message, now);
-            self.carry_out_coordination(orders).await;
+            let actions = coordinator.receive(&message, now);
+            self.execute_coordinator(actions).await;
         }
 
-        let orders = self.member.receive(&message, self.next_step);
-        self.carry_out(orders).await;
+        let actions = self.member.receive(&message, self.next_step);
+        self.execute(actions).await;
     }
 
     async fn tick(&mut self) {
         let now = self.service.clock.now();
-        let orders = self.member.tick(now);
-        self.carry_out(orders).await;
+        let actions = self.member.tick(now);
+        self.execute(actions).await;
 
         if let Some(coordinator) = &mut self.coordinator {
-            let orders = coordinator.tick(now);
-            self.carry_out_coordination(orders).await;
+            let actions = coordinator.tick(now);
+            self.execute_coordinator(actions).await;
         }
 
-        if self.member.is_idle() && !self.resumed {
+        if self.member.is_idle() && !self.has_resumed {
             self.resume().await;
         }
 
-        if now >= self.counts_at {
-            self.counts_at = now + millis(self.service.settings.counts_ms);
+        if now >= self.next_counts_at {
+            self.next_counts_at = now + millis(self.service.settings.counts_ms);
             self.report_counts().await;
         }
 
-        if now >= self.plan_at {
-            self.plan_at = now + millis(self.service.settings.plan_ms);
-            self.consider(now).await;
+        if now >= self.next_plan_at {
+            self.next_plan_at = now + millis(self.service.settings.plan_ms);
+            self.propose_map(now).await;
         }
 
         self.service.shared().status = json!({
@@ -175,19 +178,20 @@
         });
     }
 
-    /// Brings a joined member's engine to the group's map.
+    /// Switches the engine of a member that has joined to the group's map.
     async fn resume(&mut self) {
         let (from, previous) = self.member.before_current();
         let current = self.member.current();
 
-        // A map that lies ahead must not be used yet, or this rank would be alone with it.
-        let before = self.next_step >= from || self.take_up(previous, self.next_step).await;
-        self.resumed = before && self.take_up(current, from.max(self.next_step)).await;
+        // Before its first step the newest map must not be used, or this rank would be the only one
+        // with it. The engine uses the previous map until then.
+        let has_previous = self.next_step >= from || self.activate(previous, self.next_step).await;
+        self.has_resumed = has_previous && self.activate(current, from.max(self.next_step)).await;
     }
 
-    /// Makes the engine use a map that the group has agreed on.
-    async fn take_up(&mut self, version: MapVersion, at_step: Step) -> bool {
-        // Engines start with the first map.
+    /// Loads a committed map into the engine and uses it from a step on.
+    async fn activate(&mut self, version: MapVersion, at_step: Step) -> bool {
+        // Engines start with the initial map.
         if version == MapVersion::default() {
             return true;
         }
@@ -196,15 +200,15 @@
             return false;
         };
 
-        self.service.keep_map(version, map, version);
+        self.service.store_map(version, map, version);
         let action = EngineAction::Use { version: version_text(version), at_step };
         self.load(version).await && self.order(version, action).await
     }
 
-    /// Gets the map of a version that this member has used, or that engines start with.
-    fn map_in_use(&self, version: MapVersion) -> Option<ExpertMap> {
+    /// Map of a version that this member has used, or the initial map.
+    fn known_map(&self, version: MapVersion) -> Option<ExpertMap> {
         if version == MapVersion::default() {
-            return self.balance.first_map().cloned();
+            return self.balance.initial_map().cloned();
         }
 
         self.service.map_of(version)
@@ -232,12 +236,12 @@
         };
 
         self.next_step = state.next_step;
-        let Some(counts) = self.balance.since_last(&state) else {
+        let Some(counts) = self.balance.counts_since_last(&state) else {
             return;
         };
 
         if self.roster.own == 0 {
-            self.balance.count(&counts);
+            self.balance.record_counts(&counts);
             return;
         }
 
@@ -245,20 +249,20 @@
         let _ = self.service.directory.control(address, &Control::Counts(counts)).await;
     }
 
-    /// Proposes a new map where one is worth its cost. The first member coordinates.
-    async fn consider(&mut self, now: Moment) {
-        if self.roster.own != 0 || !self.member.is_idle() || !self.resumed {
+    /// Proposes a new map, if one is worth its cost. The first member coordinates.
+    async fn propose_map(&mut self, now: Moment) {
+        if self.roster.own != 0 || !self.member.is_idle() || !self.has_resumed {
             return;
         }
 
-        self.renew_coordinator();
+        self.ensure_coordinator();
 
         if !self.coordinator.as_ref().is_some_and(Coordinator::is_idle) {
             return;
         }
 
         let current = self.member.current();
-        let Some(in_use) = self.map_in_use(current) else {
+        let Some(in_use) = self.known_map(current) else {
             return;
         };
         let Some(plan) = self.balance.plan(&in_use, now) else {
@@ -266,8 +270,7 @@
         };
 
         let delta = in_use.delta_to(&plan.map);
-        let map =
-            in_use.apply_delta(&delta).expect("a difference fits the map that it was taken from");
+        let map = in_use.apply_delta(&delta).expect("a delta applies to its base map");
         map.assert_valid();
 
         let Some(coordinator) = &mut self.coordinator else {
@@ -280,14 +283,15 @@
             changed_experts = delta.experts.len(),
             gain_ms_per_step = f64::from(plan.gain_ms_per_step),
         });
-        self.service.keep_map(version, map, current);
+        self.service.store_map(version, map, current);
         self.proposed = Some((version, delta));
-        let orders = coordinator.propose(current, self.member.roster().to_vec(), now);
-        self.carry_out_coordination(orders).await;
+        let actions = coordinator.propose(current, self.member.roster().to_vec(), now);
+        self.execute_coordinator(actions).await;
     }
 
-    /// Makes sure that this member coordinates in an epoch that is not fenced off.
-    fn renew_coordinator(&mut self) {
+    /// Ensures that there is a coordinator whose epoch is not fenced off by a higher one that this
+    /// member has seen.
+    fn ensure_coordinator(&mut self) {
         let seen = self.member.status().seen_epoch;
         let current = |c: &Coordinator| !c.is_idle() || c.epoch() >= seen;
 
@@ -300,48 +304,48 @@
         self.coordinator = Some(Coordinator::new(own, incarnation, seen + 1, options));
     }
 
-    async fn carry_out_coordination(&mut self, orders: Vec<CoordinatorAction>) {
-        for order in orders {
-            match order {
+    async fn execute_coordinator(&mut self, actions: Vec<CoordinatorAction>) {
+        for action in actions {
+            match action {
                 CoordinatorAction::Send(message) => self.send(message).await,
                 CoordinatorAction::Committed(version) => {
                     log::info!("map committed", kv: { version = version_text(version) });
                 }
                 CoordinatorAction::Aborted(version) => {
-                    log::info!("map given up", kv: { version = version_text(version) });
+                    log::info!("map proposal abandoned", kv: { version = version_text(version) });
                 }
             }
         }
     }
 
-    async fn carry_out(&mut self, orders: Vec<MemberAction>) {
-        for order in orders {
-            match order {
+    async fn execute(&mut self, actions: Vec<MemberAction>) {
+        for action in actions {
+            match action {
                 MemberAction::Send(message) => self.send(message).await,
-                MemberAction::Load { version } => self.carry_out_load(version).await,
+                MemberAction::Load { version } => self.execute_load(version).await,
                 MemberAction::HoldAt { version, at_step } => {
                     let done = self.order(version, EngineAction::HoldAt { at_step }).await;
                     let now = self.service.clock.now();
-                    let orders = self.member.held(version, done, now);
-                    Box::pin(self.carry_out(orders)).await;
+                    let actions = self.member.held(version, done, now);
+                    Box::pin(self.execute(actions)).await;
                 }
                 MemberAction::Use { version, at_step } => {
                     self.service.switches.add("used");
                     let action = EngineAction::Use { version: version_text(version), at_step };
-                    self.insist(version, action).await;
+                    self.order_until_done(version, action).await;
                 }
                 MemberAction::KeepCurrent { aborted } => {
                     self.service.switches.add("kept");
-                    self.insist(aborted, EngineAction::Keep).await;
+                    self.order_until_done(aborted, EngineAction::Keep).await;
                 }
             }
         }
     }
 
-    async fn carry_out_load(&mut self, version: MapVersion) {
+    async fn execute_load(&mut self, version: MapVersion) {
         if self.load(version).await {
-            let orders = self.member.loaded(version, self.next_step);
-            Box::pin(self.carry_out(orders)).await;
+            let actions = self.member.loaded(version, self.next_step);
+            Box::pin(self.execute(actions)).await;
         }
     }
 
@@ -354,10 +358,11 @@
         self.order(version, EngineAction::Load { version: version_text(version), map }).await
     }
 
-    /// Gives an order until the engine has carried it out; holding on is the only other way.
-    async fn insist(&mut self, version: MapVersion, action: EngineAction) {
+    /// Repeats an order until the engine has carried it out. A committed decision must be applied;
+    /// until then the engine can only go on holding its step.
+    async fn order_until_done(&mut self, version: MapVersion, action: EngineAction) {
         while !self.order(version, action.clone()).await {
-            async_std::task::sleep(ORDER_RETRY).await;
+            async_std::task::sleep(ORDER_RETRY_DELAY).await;
         }
     }
 
@@ -375,7 +380,7 @@
 
     async fn send(&mut self, message: Message) {
         if message.to == self.roster.own {
-            Box::pin(self.take_message(message)).await;
+            Box::pin(self.handle_message(message)).await;
             return;
         }
 
@@ -391,14 +396,14 @@
         };
 
         let directory = self.service.directory.clone();
-        // A slow peer must not hold up the others.
+        // A slow peer must not delay the others.
         async_std::task::spawn(async move {
             let _ = directory.control(address, &Control::Switch { message, map }).await;
         });
     }
 }
 
-/// Gets the text that names a version towards an engine.
+/// Formats a version for the engine.
 pub fn version_text(version: MapVersion) -> String {
     format!("{}.{}.{}", version.epoch, version.proposer, version.number)
 }
--- a/grebedeck/src/agent/group.rs
+++ b/grebedeck/src/agent/group.rs
@@ -1,5 +1,6 @@
-//! The group's side of an agent, as the rest of the process sees it: messages and counts go in, a
-//! dump and maps come out. Its task is in [`driver`](super::driver).
+//! The agent's part in its group: the service that the rest of the process sees. Messages and
+//! counts of other members arrive here, and peers read maps. The task that handles them is in
+//! [`driver`](super::driver).
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -21,32 +22,32 @@
 use crate::message::GroupCounts;
 use crate::settings::{AgentSettings, BalanceSettings};
 
-/// How often the configuration is looked at while it does not name this member.
-const ROSTER_CHECK: Duration = Duration::from_millis(50);
-/// How many maps are kept by version: the one in use, the one before, and a proposal.
-const KEPT_MAPS: usize = 4;
+/// Interval between checks of the configuration while it does not name this member.
+const ROSTER_POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Maximum number of maps kept by version: the one in use, the previous one, and a proposal.
+const MAX_KEPT_MAPS: usize = 4;
 
-/// What reaches the group's task from outside.
+/// Input to the group's task from outside.
 pub(super) enum Event {
-    /// A message of the switch protocol, with the map of a proposal.
+    /// Message of the switch protocol, with the map of a proposal.
     Message(Message, Option<MapDelta>),
     /// Token counts of a member.
     Counts(GroupCounts),
 }
 
-/// State that a dump shows and peers ask for.
+/// State that the task shares with the service.
 #[derive(Default)]
-pub(super) struct Shared {
+pub(super) struct SharedState {
     maps: HashMap<MapVersion, ExpertMap>,
-    /// What a dump shows.
+    /// Status for the diagnostic dump.
     pub(super) status: Value,
 }
 
-/// The group's service of an agent.
+/// Service for the agent's group.
 pub struct GroupService {
     pub(super) clock: Clock,
     name: String,
-    /// The newest incarnation that a member of this process had.
+    /// Latest incarnation of a member in this process.
     incarnation: AtomicU64,
     pub(super) settings: BalanceSettings,
     config: Arc<ConfigService>,
@@ -54,10 +55,10 @@
     pub(super) switches: Counter,
     events: Sender<Event>,
     pub(super) inbox: Receiver<Event>,
-    shared: Mutex<Shared>,
+    shared: Mutex<SharedState>,
 }
 
-/// The members of a group, as the configuration names them.
+/// Members of a group, as the configuration lists them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct Roster {
     pub(super) group: GroupName,
@@ -66,16 +67,17 @@
 }
 
 impl Roster {
-    /// Tells whether both name the same places, whatever the addresses.
-    pub(super) fn is_like(&self, other: &Roster) -> bool {
-        let places = |r: &Roster| (r.group.clone(), r.own, r.addresses.len());
+    /// Whether both describe the same member of the same group, of the same size; addresses may
+    /// differ.
+    pub(super) fn has_same_position(&self, other: &Roster) -> bool {
+        let position = |r: &Roster| (r.group.clone(), r.own, r.addresses.len());
 
-        places(self) == places(other)
+        position(self) == position(other)
     }
 }
 
 impl GroupService {
-    /// Makes the service; the kernel must have the configuration and the peers.
+    /// Creates the service; the kernel must have the configuration and the directory of peers.
     pub fn new(
         settings: &AgentSettings,
         incarnation: Incarnation,
@@ -103,28 +105,28 @@
         }
     }
 
-    /// Takes in a message of the switch protocol.
+    /// Queues a message of the switch protocol.
     pub fn receive(&self, message: Message, map: Option<MapDelta>) {
-        // A message that finds no room is as good as lost, which the protocol expects.
+        // A message that does not fit into the queue is dropped. The protocol expects losses.
         let _ = self.events.try_send(Event::Message(message, map));
     }
 
-    /// Takes in a member's token counts.
-    pub fn count(&self, counts: GroupCounts) {
+    /// Queues a member's token counts.
+    pub fn record_counts(&self, counts: GroupCounts) {
         let _ = self.events.try_send(Event::Counts(counts));
     }
 
-    /// Gets the map of a version, where this member still has it.
+    /// Map of a version, if this member still has it.
     pub fn map_of(&self, version: MapVersion) -> Option<ExpertMap> {
         self.shared().maps.get(&version).cloned()
     }
 
-    /// Runs the group's side until the task is dropped.
+    /// Runs the group's task until it is dropped.
     pub async fn run<E: Engine>(self: Arc<Self>, engine: E) {
         loop {
             match self.find_roster() {
                 Some(roster) => Driver::new(self.clone(), engine.clone(), roster).run().await,
-                None => async_std::task::sleep(ROSTER_CHECK).await,
+                None => async_std::task::sleep(ROSTER_POLL_INTERVAL).await,
             }
         }
     }
@@ -139,16 +141,16 @@
         Some(Roster { group, own, addresses })
     }
 
-    /// Gets an incarnation for a member that starts without memory.
+    /// Returns a new incarnation, for a member that starts without state.
     pub(super) fn next_incarnation(&self) -> Incarnation {
         self.incarnation.fetch_add(1, Ordering::Relaxed) + 1
     }
 
-    pub(super) fn keep_map(&self, version: MapVersion, map: ExpertMap, in_use: MapVersion) {
+    pub(super) fn store_map(&self, version: MapVersion, map: ExpertMap, in_use: MapVersion) {
         let mut shared = self.shared();
         shared.maps.insert(version, map);
 
-        while shared.maps.len() > KEPT_MAPS {
+        while shared.maps.len() > MAX_KEPT_MAPS {
             let oldest = shared.maps.keys().filter(|v| **v != in_use).min().copied();
 
             match oldest {
@@ -158,7 +160,7 @@
         }
     }
 
-    pub(super) fn shared(&self) -> MutexGuard<'_, Shared> {
+    pub(super) fn shared(&self) -> MutexGuard<'_, SharedState> {
         self.shared.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/grebedeck/src/agent/service.rs
+++ b/grebedeck/src/agent/service.rs
@@ -1,4 +1,4 @@
-//! The agent's state: the gate and the way to the target.
+//! State of the agent: the gate, and the client for requests to the target.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -14,45 +14,46 @@
 use http_types::Response;
 use serde_json::{Value, json};
 
-use super::CONNECT_LIMIT_MS;
-use super::crashes::Crashes;
+use super::CONNECT_TIMEOUT_MS;
+use super::crashes::CrashCounter;
 use crate::settings::{AgentSettings, millis};
 
-/// Lines a second on a target that wants rest; its answers to requests under way may all say so.
+/// Maximum rate of log lines on a target that requests a delay, as its responses to all requests in
+/// flight may do so.
 const LINES_PER_S: f64 = 1.0;
 
-/// The agent's service.
+/// Service of the agent.
 pub struct AgentService {
     pub(super) clock: Clock,
     pub(super) target: HttpClient,
     pub(super) max_body_bytes: usize,
     pub(super) verdicts: Counter,
     gate: Mutex<Gate>,
-    rest: Mutex<TargetRest>,
-    crashes: Mutex<Crashes>,
+    retry_after: Mutex<TargetDelay>,
+    crashes: Mutex<CrashCounter>,
 }
 
-/// Until when the target itself wants nothing, and the lines on that.
-struct TargetRest {
-    rest: RetryAfter,
+/// Delay that the target requested, and the budget for log lines on it.
+struct TargetDelay {
+    delay: RetryAfter,
     lines: LineBudget,
 }
 
-/// Notes in the gate that an attempt ended, when it is dropped.
-pub struct Running<'a> {
+/// Attempt that the gate admitted; the gate records its end when this is dropped.
+pub struct RunningAttempt<'a> {
     agent: &'a AgentService,
     attempt: AttemptId,
     ran: bool,
 }
 
-impl Running<'_> {
-    /// Notes that the target certainly got nothing.
-    pub fn not_sent(&mut self) {
+impl RunningAttempt<'_> {
+    /// Records that the target received nothing of the request.
+    pub fn mark_not_sent(&mut self) {
         self.ran = false;
     }
 }
 
-impl Drop for Running<'_> {
+impl Drop for RunningAttempt<'_> {
     fn drop(&mut self) {
         let now = self.agent.clock.now();
 
@@ -61,7 +62,7 @@
 }
 
 impl AgentService {
-    /// Makes the service; the gate's memory begins now.
+    /// Creates the service; the gate remembers attempts and keys from now on.
     pub fn new(
         settings: &AgentSettings,
         incarnation: Incarnation,
@@ -79,15 +80,15 @@
 
         AgentService {
             clock,
-            target: HttpClient::new(settings.target_address, millis(CONNECT_LIMIT_MS)),
+            target: HttpClient::new(settings.target_address, millis(CONNECT_TIMEOUT_MS)),
             max_body_bytes: settings.max_body_bytes,
             verdicts: metrics.counter(
                 "grebedeck_gate",
                 "verdict",
                 "Attempts by the gate's verdict",
             ),
-            rest: Mutex::new(TargetRest {
-                rest: RetryAfter::default(),
+            retry_after: Mutex::new(TargetDelay {
+                delay: RetryAfter::default(),
                 lines: LineBudget::new(LINES_PER_S),
             }),
             gate: Mutex::new(Gate::new(incarnation, unix_ms(), options)),
@@ -95,68 +96,68 @@
         }
     }
 
-    /// Decides on an attempt; where it may run, the answer holds its place.
-    pub(super) fn admit(&self, start: &StartRequest) -> Result<Running<'_>, Verdict> {
+    /// Passes an attempt through the gate; if it may run, the returned guard holds its slot.
+    pub(super) fn admit(&self, start: &StartRequest) -> Result<RunningAttempt<'_>, Verdict> {
         match self.gate().admit(start, self.clock.now(), unix_ms()) {
-            Verdict::Run => Ok(Running { agent: self, attempt: start.attempt, ran: true }),
+            Verdict::Run => Ok(RunningAttempt { agent: self, attempt: start.attempt, ran: true }),
             verdict => Err(verdict),
         }
     }
 
-    /// Strikes out an attempt that has not started.
+    /// Cancels an attempt that has not started.
     pub fn strike(&self, attempt: AttemptId, incarnation: Incarnation) -> StrikeAnswer {
         self.gate().strike(attempt, incarnation, self.clock.now())
     }
 
-    /// Tells whether the target is leaving.
+    /// Whether the target is draining.
     pub fn is_draining(&self) -> bool {
         self.gate().is_draining()
     }
 
-    /// Gets the target's load. One that rests has nothing to do, and would look like the best one of all: its places are
-    /// told as taken.
+    /// Load of the target. While a requested delay is active, all slots are reported as taken: a
+    /// target without work would look like the best choice.
     pub(super) fn load(&self) -> LoadReport {
         let gate = self.gate();
-        let places = gate.slots() as u32;
-        let rested = if self.rest_left().is_some() { places } else { 0 };
+        let slots = gate.slots() as u32;
+        let delayed = if self.remaining_delay().is_some() { slots } else { 0 };
 
-        LoadReport { in_flight: rested.max(gate.in_flight() as u32), waiting: 0, slots: places }
+        LoadReport { in_flight: delayed.max(gate.in_flight() as u32), waiting: 0, slots }
     }
 
-    /// Gets how much longer the target rests, where it does.
-    pub(super) fn rest_left(&self) -> Option<Duration> {
-        let left = self.rest().rest.remaining(self.now());
+    /// Remaining delay that the target requested, if any.
+    pub(super) fn remaining_delay(&self) -> Option<Duration> {
+        let remaining = self.retry_after().delay.remaining(self.now());
 
-        (!left.is_zero()).then_some(left)
+        (!remaining.is_zero()).then_some(remaining)
     }
 
-    /// Takes in whether the target turned a request away and asks for rest.
-    pub(super) fn note_rest(&self, response: &Response) {
+    /// Records the delay of a response that refuses a request and asks for one.
+    pub(super) fn record_delay(&self, response: &Response) {
         let values = response.header("retry-after").into_iter().flatten();
         let values = values.map(|value| value.as_str().as_bytes());
         let now = self.now();
 
-        if let Some(asked) = requested_retry_after(response.status() as u16, values) {
-            let rest_ms = asked.as_millis() as u64;
-            let mut known = self.rest();
-            known.rest.extend(asked, now);
+        if let Some(requested) = requested_retry_after(response.status() as u16, values) {
+            let rest_ms = requested.as_millis() as u64;
+            let mut known = self.retry_after();
+            known.delay.extend(requested, now);
 
             if let Some(left_out) = known.lines.take_line(now) {
                 let status = response.status() as u16;
-                log::info!("target rests", kv: { status, rest_ms, left_out });
+                log::info!("target requested a delay", kv: { status, rest_ms, left_out });
             }
         }
     }
 
-    /// Notes that the target crashed; gets the number of the crash, and whether it is a new one.
-    pub(super) fn note_crash(&self, sent_at: Moment) -> (u64, bool) {
+    /// Records a crash; returns its number, and whether it is a new one.
+    pub(super) fn record_crash(&self, sent_at: Moment) -> (u64, bool) {
         let mut crashes = self.crashes.lock().unwrap_or_else(PoisonError::into_inner);
 
-        crashes.note(sent_at, self.now())
+        crashes.record(sent_at, self.now())
     }
 
-    fn rest(&self) -> MutexGuard<'_, TargetRest> {
-        self.rest.lock().unwrap_or_else(PoisonError::into_inner)
+    fn retry_after(&self) -> MutexGuard<'_, TargetDelay> {
+        self.retry_after.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     pub(super) fn now(&self) -> Moment {
@@ -164,8 +165,7 @@
     }
 
     fn gate(&self) -> MutexGuard<'_, Gate> {
-        // A gate whose invariant broke must not be used again, so a poisoned lock stops the
-        // process's requests one by one.
+        // The gate stays in use after a panic under the lock.
         self.gate.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/grebedeck/src/agent/work.rs
+++ b/grebedeck/src/agent/work.rs
@@ -1,4 +1,5 @@
-//! One attempt at the agent: from the gate to the target and back.
+//! Handling of one attempt by the agent: from the work stream through the gate to the target, and
+//! the answer back to the entry.
 
 use std::str::FromStr;
 
@@ -14,53 +15,58 @@
 use http_types::headers::{HeaderName, HeaderValue};
 use http_types::{Method, Request, Url};
 
-use super::service::{AgentService, Running};
+use super::service::{AgentService, RunningAttempt};
 use crate::message::{
     AnswerHead, BODY_PART_BYTES, BodyDigest, FromAgent, ToAgent, WorkStart, WorkVerdict,
 };
 use crate::settings::millis;
 
-/// How long an entry may take to send a request.
-const REQUEST_LIMIT_MS: u64 = 30_000;
+/// Maximum time for receiving a request from an entry.
+const REQUEST_TIMEOUT_MS: u64 = 30_000;
 
-/// An answer whose head is here.
-struct Begun<'a> {
+/// An answer whose head has arrived.
+struct StartedAnswer<'a> {
     head: AnswerHead,
     answer: Answer,
-    running: Running<'a>,
+    running: RunningAttempt<'a>,
     sent_at: Moment,
 }
 
-/// A request that arrived whole.
-struct WholeRequest {
+/// A request that has arrived completely.
+struct CompleteRequest {
     start: WorkStart,
     body: Vec<u8>,
 }
 
 impl AgentService {
     /// Handles a work stream to its end.
-    pub async fn work(&self, mut reader: FrameReader, mut writer: FrameWriter) -> Result<()> {
+    pub async fn handle_work(
+        &self,
+        mut reader: FrameReader,
+        mut writer: FrameWriter,
+    ) -> Result<()> {
         let reading = read_request(&mut reader, self.max_body_bytes);
 
-        // Before the request is whole nothing of it has run, and nothing will.
-        let Ok(request) = timeout(millis(REQUEST_LIMIT_MS), reading).await else {
+        // Until the request is complete nothing of it has run, and nothing will.
+        let Ok(request) = timeout(millis(REQUEST_TIMEOUT_MS), reading).await else {
             return Ok(());
         };
         let request = request?;
 
-        let running = match self.admit(&gate_start(&request.start, self.now())) {
+        let running = match self.admit(&to_start_request(&request.start, self.now())) {
             Ok(running) => running,
-            Err(verdict) => return self.answer_verdict(to_wire(verdict), writer).await,
+            Err(verdict) => return self.send_verdict(to_work_verdict(verdict), writer).await,
         };
         self.verdicts.add("run");
 
-        // The entry's reset reaches the target by closing the connection to it.
+        // If the entry resets the stream, the connection to the target is closed, which cancels the
+        // request there.
         let outcome = {
-            let running_request = self.run(request, running);
+            let answering = self.run(request, running);
             let cancelled = writer.cancelled();
-            futures::pin_mut!(running_request, cancelled);
+            futures::pin_mut!(answering, cancelled);
 
-            match futures::future::select(running_request, cancelled).await {
+            match futures::future::select(answering, cancelled).await {
                 futures::future::Either::Left((outcome, _)) => outcome,
                 futures::future::Either::Right(_) => {
                     self.verdicts.add("cancelled");
@@ -70,34 +76,34 @@
         };
 
         match outcome {
-            Ok(begun) => self.pass_on(begun, writer).await,
-            Err(verdict) => self.answer_verdict(verdict, writer).await,
+            Ok(started) => self.forward_answer(started, writer).await,
+            Err(verdict) => self.send_verdict(verdict, writer).await,
         }
     }
 
-    /// Hands a request to the target and waits for the head of its answer.
+    /// Sends a request to the target and waits for the head of the answer.
     async fn run<'a>(
         &self,
-        request: WholeRequest,
-        mut running: Running<'a>,
-    ) -> std::result::Result<Begun<'a>, WorkVerdict> {
+        request: CompleteRequest,
+        mut running: RunningAttempt<'a>,
+    ) -> std::result::Result<StartedAnswer<'a>, WorkVerdict> {
         let attempt = request.start.attempt;
 
-        let Some(http_request) = to_http(request, self) else {
-            running.not_sent();
+        let Some(http_request) = to_http_request(request, self) else {
+            running.mark_not_sent();
             return Err(WorkVerdict::Refused(Reason::BadRequest("method or path".into())));
         };
 
-        if let Some(left) = self.rest_left() {
-            running.not_sent();
-            return Err(WorkVerdict::Refused(Reason::Overloaded(left)));
+        if let Some(remaining) = self.remaining_delay() {
+            running.mark_not_sent();
+            return Err(WorkVerdict::Refused(Reason::Overloaded(remaining)));
         }
 
         let sent_at = self.now();
 
         match self.target.send(http_request).await {
             Ok(answer) => {
-                self.note_rest(&answer.response);
+                self.record_delay(&answer.response);
                 let len_bytes = answer.response.len().map(|len| len as u64);
                 let head = AnswerHead {
                     attempt,
@@ -106,29 +112,33 @@
                     len_bytes,
                 };
 
-                Ok(Begun { head, answer, running, sent_at })
+                Ok(StartedAnswer { head, answer, running, sent_at })
             }
             Err(SendError::NotSent(_)) => {
-                running.not_sent();
+                running.mark_not_sent();
                 Err(WorkVerdict::Refused(Reason::Unreachable))
             }
-            Err(SendError::MaybeSent(_)) => Err(self.failure(sent_at).await),
+            Err(SendError::MaybeSent(_)) => Err(self.failure_verdict(sent_at).await),
         }
     }
 
-    /// Passes the target's answer on, part by part as it comes.
-    async fn pass_on(&self, begun: Begun<'_>, mut writer: FrameWriter) -> Result<()> {
-        let Begun { head, mut answer, running, sent_at } = begun;
+    /// Forwards the target's answer as it arrives.
+    async fn forward_answer(
+        &self,
+        started: StartedAnswer<'_>,
+        mut writer: FrameWriter,
+    ) -> Result<()> {
+        let StartedAnswer { head, mut answer, running, sent_at } = started;
         let mut digest = BodyDigest::new(head.attempt);
         let expected = head.len_bytes;
         let mut frames = BytesMut::new();
         let mut part = vec![0; BODY_PART_BYTES];
         encode_into(&FromAgent::Head(head), &mut frames)?;
 
-        // With the length known to be small, everything leaves in one piece.
-        let gather = expected.is_some_and(|len| len <= BODY_PART_BYTES as u64);
+        // An answer that is known to be short is sent in one piece.
+        let is_buffered = expected.is_some_and(|len| len <= BODY_PART_BYTES as u64);
 
-        if !gather {
+        if !is_buffered {
             writer.send_encoded(frames.split().freeze()).await?;
         }
 
@@ -150,35 +160,36 @@
             let read = match read {
                 Ok(0) => break,
                 Ok(read) => read,
-                // The entry is told why the answer ends here, as it is where there is none.
+                // The entry gets the reason why the answer ends here, as it does if there is no
+                // answer at all.
                 Err(_) => {
                     drop(running);
-                    return self.answer_verdict(self.failure(sent_at).await, writer).await;
+                    return self.send_verdict(self.failure_verdict(sent_at).await, writer).await;
                 }
             };
 
             digest.update(&part[..read]);
             encode_into(&FromAgent::Body(part[..read].to_vec()), &mut frames)?;
 
-            if !gather {
+            if !is_buffered {
                 writer.send_encoded(frames.split().freeze()).await?;
             }
         }
 
-        // The place is free before the caller can ask again.
+        // Frees the slot before the caller can send its next request.
         drop(running);
-        let mark = digest.end_mark();
+        let end_mark = digest.end_mark();
 
-        if expected.is_some_and(|len| len != mark.len_bytes) {
-            return self.answer_verdict(self.failure(sent_at).await, writer).await;
+        if expected.is_some_and(|len| len != end_mark.len_bytes) {
+            return self.send_verdict(self.failure_verdict(sent_at).await, writer).await;
         }
 
         answer.finish();
-        encode_into(&FromAgent::End(mark, self.load()), &mut frames)?;
+        encode_into(&FromAgent::End(end_mark, self.load()), &mut frames)?;
         writer.send_encoded_last(frames.freeze()).await
     }
 
-    async fn answer_verdict(&self, verdict: WorkVerdict, mut writer: FrameWriter) -> Result<()> {
+    async fn send_verdict(&self, verdict: WorkVerdict, mut writer: FrameWriter) -> Result<()> {
         self.verdicts.add(match verdict {
             WorkVerdict::Refused(_) => "refused",
             WorkVerdict::InDoubt(_) => "in_doubt",
@@ -190,10 +201,10 @@
     }
 }
 
-async fn read_request(reader: &mut FrameReader, max_body_bytes: usize) -> Result<WholeRequest> {
+async fn read_request(reader: &mut FrameReader, max_body_bytes: usize) -> Result<CompleteRequest> {
     let start = match reader.expect().await? {
         ToAgent::Start(start) => *start,
-        _ => return protocol_error("a work stream begins with its start"),
+        _ => return protocol_error("work stream does not begin with `Start`"),
     };
 
     let mut digest = BodyDigest::new(start.attempt);
@@ -203,21 +214,21 @@
         match reader.expect().await? {
             ToAgent::Body(part) => {
                 if body.len() + part.len() > max_body_bytes {
-                    return limit_error(format!("a request body over {max_body_bytes} bytes"));
+                    return limit_error(format!("request body larger than {max_body_bytes} bytes"));
                 }
 
                 digest.update(&part);
                 body.extend_from_slice(&part);
             }
-            ToAgent::End(mark) if mark == digest.end_mark() => {
-                return Ok(WholeRequest { start, body });
+            ToAgent::End(end_mark) if end_mark == digest.end_mark() => {
+                return Ok(CompleteRequest { start, body });
             }
-            _ => return protocol_error("a request's end mark does not fit its body"),
+            _ => return protocol_error("end mark does not match the request body"),
         }
     }
 }
 
-fn gate_start(start: &WorkStart, now: grebedeck_core::Moment) -> StartRequest {
+fn to_start_request(start: &WorkStart, now: grebedeck_core::Moment) -> StartRequest {
     StartRequest {
         attempt: start.attempt,
         incarnation: start.incarnation,
@@ -228,7 +239,7 @@
     }
 }
 
-fn to_wire(verdict: Verdict) -> WorkVerdict {
+fn to_work_verdict(verdict: Verdict) -> WorkVerdict {
     match verdict {
         Verdict::InDoubt(reason) => WorkVerdict::InDoubt(reason),
         Verdict::Refuse(reason) => WorkVerdict::Refused(reason),
@@ -236,14 +247,14 @@
     }
 }
 
-fn to_http(request: WholeRequest, agent: &AgentService) -> Option<Request> {
+fn to_http_request(request: CompleteRequest, agent: &AgentService) -> Option<Request> {
     let method = Method::from_str(&request.start.method).ok()?;
     let url = format!("http://{}{}", agent.target.address(), request.start.path);
     let mut http_request = Request::new(method, Url::parse(&url).ok()?);
 
     if !request.body.is_empty() {
         http_request.set_body(request.body);
-        // Setting a body sets a content type, which is the caller's to say.
+        // `set_body` sets a content type, but only the caller's own may be sent.
         http_request.remove_header("content-type");
     }
 
--- a/grebedeck/src/peer.rs
+++ b/grebedeck/src/peer.rs
@@ -39,7 +39,7 @@
     async fn handle(&self, incoming: Incoming) {
         let handled = match (incoming.path.as_str(), &self.agent) {
             (WORK_PATH, Some(agent)) => match incoming.accept() {
-                Ok((reader, writer)) => agent.work(reader, writer).await,
+                Ok((reader, writer)) => agent.handle_work(reader, writer).await,
                 Err(error) => Err(error),
             },
             (CONTROL_PATH, _) => match incoming.accept() {
@@ -85,7 +85,7 @@
                 None => ControlAnswer::NotSupported,
             },
             Control::Switch { message, map } => self.to_group(|g| g.receive(message, map)),
-            Control::Counts(counts) => self.to_group(|g| g.count(counts)),
+            Control::Counts(counts) => self.to_group(|g| g.record_counts(counts)),
             Control::Suspects(message) => match &self.suspects {
                 Some(suspects) => ControlAnswer::Suspects(suspects.answer(message)),
                 None => ControlAnswer::NotSupported,
