--- a/grebedeck/src/entry.rs
+++ b/grebedeck/src/entry.rs
@@ -1,4 +1,5 @@
-//! The entry: takes callers' requests and finds each a target.
+//! The entry, which receives callers' requests, selects a target for each, and sends it to the
+//! agent beside that target.
 
 pub mod answer;
 pub mod attempt;
@@ -18,9 +19,9 @@
 
 /// A running entry.
 pub struct Entry {
-    /// The process's services.
+    /// Services of the process.
     pub kernel: Kernel,
-    /// Its settings, with the ports that it got.
+    /// Settings, with the ports that were bound.
     pub settings: EntrySettings,
     tasks: Vec<async_std::task::JoinHandle<()>>,
 }
@@ -29,8 +30,8 @@
     /// Starts an entry; it listens when this returns.
     pub async fn try_new(mut settings: EntrySettings) -> anyhow::Result<Entry> {
         let caller_listener = process::bind(&mut settings.caller_address).await?;
-        let connect_limit = millis(settings.connect_limit_ms);
-        let process = Process::try_new(Role::Entry, &mut settings.common, connect_limit).await?;
+        let connect_timeout = millis(settings.connect_limit_ms);
+        let process = Process::try_new(Role::Entry, &mut settings.common, connect_timeout).await?;
         let kernel = process.kernel.clone();
 
         let service = EntryService::new(&settings, process.clock, &kernel, &process.metrics);
@@ -42,15 +43,15 @@
             members: process.members.clone(),
             directory: process.directory.clone(),
         };
-        let limit = millis(settings.common.platform_limit_ms);
-        let table = HttpTable::new(settings.common.table_address, limit);
+        let timeout = millis(settings.common.platform_limit_ms);
+        let table = HttpTable::new(settings.common.table_address, timeout);
         let mut tasks =
             process.start(RoleParts { suspects: Some(suspects), ..RoleParts::default() });
 
-        tasks.push(async_std::task::spawn(gossip.clone().keep(table)));
-        tasks.push(async_std::task::spawn(gossip.follow()));
+        tasks.push(async_std::task::spawn(gossip.clone().persist(table)));
+        tasks.push(async_std::task::spawn(gossip.exchange()));
 
-        tasks.push(async_std::task::spawn(entry.clone().forget_gone()));
+        tasks.push(async_std::task::spawn(entry.clone().evict_removed_targets()));
         let options = ServerOptions { max_connections: settings.max_connections };
         let (on_request, on_reject) = (entry.clone(), entry);
         tasks.push(async_std::task::spawn(serve_http(
@@ -67,7 +68,7 @@
         Ok(Entry { kernel, settings, tasks })
     }
 
-    /// Ends all tasks at once; work in flight is cut off unless it was drained before.
+    /// Cancels all tasks at once; work in flight is cut off unless it was drained before.
     pub async fn stop(self) {
         process::cancel(self.tasks).await;
     }
--- a/grebedeck/src/entry/answer.rs
+++ b/grebedeck/src/entry/answer.rs
@@ -1,8 +1,8 @@
-//! Passing a target's answer on to the caller.
+//! Forwards a target's answer to the caller.
 //!
-//! An answer is whole only with its end mark. Where the mark is missing or does not fit, the
-//! caller's connection is closed before the end of the HTTP body, so that no cut answer looks like
-//! a whole one.
+//! An answer is complete only with its end mark. If the mark is missing or does not match, the
+//! caller's connection is closed before the end of the HTTP body, so that a truncated answer never
+//! looks complete.
 
 use std::io;
 use std::net::SocketAddr;
@@ -20,93 +20,93 @@
 use serde_json::json;
 
 use super::attempt::InFlight;
-use super::service::Place;
+use super::service::AdmissionPermit;
 use super::suspects::Suspects;
 use crate::message::{AnswerHead, BodyDigest, FromAgent, WorkVerdict};
 
-/// Header that tells the caller what became of the request.
+/// Header with the outcome of the request.
 pub const OUTCOME_HEADER: &str = "grebedeck-outcome";
-/// Parts of an answer that may wait for a slow caller.
-const PARTS_WAITING: usize = 4;
+/// Number of parts of an answer that are buffered for a slow caller.
+const MAX_PENDING_PARTS: usize = 4;
 
-/// A request at one target, as crashes concern it.
-pub struct Run {
-    /// What the entry knows of crashes.
+/// A request at one target, for the records of crashes.
+pub struct TargetRun {
+    /// The entry's records of crashes.
     pub suspects: Arc<Suspects>,
-    /// The target.
+    /// Name of the target.
     pub target: TargetName,
-    /// The life of its agent.
+    /// Incarnation of its agent.
     pub incarnation: Incarnation,
-    /// What the request has in common with its caller's other tries.
+    /// Fingerprint of the request.
     pub fingerprint: Fingerprint,
 }
 
-impl Run {
-    /// Notes that the target crashed under the request.
-    pub fn crashed(&self, crash: u64) {
-        self.suspects.note_crash(&self.target, self.incarnation, crash, self.fingerprint);
+impl TargetRun {
+    /// Records that the target crashed under the request.
+    pub fn record_crash(&self, crash: u64) {
+        self.suspects.record_crash(&self.target, self.incarnation, crash, self.fingerprint);
     }
 }
 
-/// The part of an answer that is still to come.
+/// The rest of an answer, read part by part.
 pub struct AnswerStream {
     agent_address: SocketAddr,
     digest: BodyDigest,
     reader: FrameReader,
-    // Dropping the stream before its end tells the agent that nobody waits any more.
+    // Dropping the stream before its end cancels the request at the agent.
     _stream: Stream,
     in_flight: InFlight,
-    run: Run,
+    run: TargetRun,
 }
 
 impl AnswerStream {
-    /// Makes the stream of an attempt's answer.
+    /// Creates the stream for the answer to an attempt.
     pub fn new(
         attempt: AttemptId,
         agent_address: SocketAddr,
         reader: FrameReader,
         stream: Stream,
         in_flight: InFlight,
-        run: Run,
+        run: TargetRun,
     ) -> Self {
         let digest = BodyDigest::new(attempt);
 
         AnswerStream { agent_address, digest, reader, _stream: stream, in_flight, run }
     }
 
-    /// Reads the next part, or `None` at the end of a whole answer.
+    /// Reads the next part; `None` at the end of a complete answer.
     pub async fn next(&mut self) -> Result<Option<Vec<u8>>> {
-        let next = self.next_checked().await;
+        let next = self.read_next().await;
 
         match &next {
             Ok(Some(_)) => {}
             Ok(None) => {
-                self.in_flight.judge(true);
-                self.run.suspects.note_answered(self.run.fingerprint);
+                self.in_flight.set_success(true);
+                self.run.suspects.record_answer(self.run.fingerprint);
             }
-            Err(_) => self.in_flight.judge(false),
+            Err(_) => self.in_flight.set_success(false),
         }
 
         next
     }
 
-    async fn next_checked(&mut self) -> Result<Option<Vec<u8>>> {
+    async fn read_next(&mut self) -> Result<Option<Vec<u8>>> {
         match self.next_frame().await? {
             FromAgent::Body(part) => {
                 self.digest.update(&part);
                 Ok(Some(part))
             }
-            FromAgent::End(mark, report) => {
-                self.in_flight.reported(report);
+            FromAgent::End(end_mark, report) => {
+                self.in_flight.record_report(report);
 
-                if mark != self.digest.end_mark() {
+                if end_mark != self.digest.end_mark() {
                     return protocol_error("an answer's end mark does not fit its body");
                 }
 
                 Ok(None)
             }
             FromAgent::Verdict(WorkVerdict::TargetCrashed { crash }, _) => {
-                self.run.crashed(crash);
+                self.run.record_crash(crash);
                 protocol_error("an answer was cut off by its target's crash")
             }
             FromAgent::Verdict(..) | FromAgent::Head(_) => {
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Reads the next frame, as long as the agent shows that it is there.
+    /// Reads the next frame; fails if the agent falls silent meanwhile.
     async fn next_frame(&mut self) -> Result<FromAgent> {
         let reading = self.reader.expect();
         let silent = self.in_flight.entry().directory.silent(self.agent_address);
@@ -128,7 +128,7 @@
     }
 
     /// Reads all parts.
-    pub async fn read_whole(&mut self) -> Result<Vec<u8>> {
+    pub async fn read_to_end(&mut self) -> Result<Vec<u8>> {
         let mut body = Vec::new();
 
         while let Some(part) = self.next().await? {
@@ -140,47 +140,51 @@
     }
 }
 
-/// Makes the response for an answer that is here whole.
-pub fn whole_response(head: AnswerHead, body: Vec<u8>) -> Response {
+/// Response for a complete answer.
+pub fn complete_response(head: AnswerHead, body: Vec<u8>) -> Response {
     let mut response = response_head(&head);
     response.set_body(body);
-    // Setting a body sets a content type, which is the target's to say.
-    pass_headers(&head, &mut response);
+    // `set_body` sets a content type, but only the target's own may be sent.
+    copy_headers(&head, &mut response);
 
     response
 }
 
-/// Makes the response for an answer that is still coming.
-pub fn stream_response(head: AnswerHead, stream: AnswerStream, place: Place) -> Response {
-    let (sender, receiver) = async_channel::bounded(PARTS_WAITING);
-    async_std::task::spawn(pump(stream, sender, place));
+/// Response for an answer that is still arriving.
+pub fn stream_response(
+    head: AnswerHead,
+    stream: AnswerStream,
+    permit: AdmissionPermit,
+) -> Response {
+    let (sender, receiver) = async_channel::bounded(MAX_PENDING_PARTS);
+    async_std::task::spawn(forward_parts(stream, sender, permit));
 
     let reader = Box::pin(receiver).into_async_read();
     let len = head.len_bytes.and_then(|len| usize::try_from(len).ok());
     let mut response = response_head(&head);
     response.set_body(Body::from_reader(reader, len));
-    pass_headers(&head, &mut response);
+    copy_headers(&head, &mut response);
 
     response
 }
 
-/// Moves parts to the caller until the answer ends or the caller has gone.
-async fn pump(
+/// Forwards parts to the caller until the answer ends or the caller disconnects.
+async fn forward_parts(
     mut stream: AnswerStream,
     sender: async_channel::Sender<io::Result<Vec<u8>>>,
-    place: Place,
+    permit: AdmissionPermit,
 ) {
     let outcomes = stream.in_flight.entry().counters.outcomes.clone();
 
-    let word = loop {
+    let outcome = loop {
         let part = async { Some(stream.next().await) };
-        // A caller that goes away between two parts frees its place at once.
-        let gone = async {
+        // If the caller disconnects between two parts, its permit is returned at once.
+        let disconnected = async {
             sender.closed().await;
             None
         };
 
-        match first_of(part, gone).await {
+        match race(part, disconnected).await {
             Some(Ok(Some(part))) => {
                 if sender.send(Ok(part)).await.is_err() {
                     break "caller_gone";
@@ -196,12 +200,12 @@
         }
     };
 
-    outcomes.add(word);
-    drop(place);
+    outcomes.add(outcome);
+    drop(permit);
 }
 
 /// Completes with whichever future is first.
-async fn first_of<T>(
+async fn race<T>(
     first: impl std::future::Future<Output = T>,
     second: impl std::future::Future<Output = T>,
 ) -> T {
@@ -216,7 +220,7 @@
     Response::new(status)
 }
 
-fn pass_headers(head: &AnswerHead, response: &mut Response) {
+fn copy_headers(head: &AnswerHead, response: &mut Response) {
     response.remove_header("content-type");
 
     for (name, value) in &head.headers {
@@ -236,8 +240,8 @@
     response.insert_header(OUTCOME_HEADER, Outcome::Done.word());
 }
 
-/// Makes the response for a request that has no answer from a target.
-pub fn refusal(outcome: &Outcome) -> Response {
+/// Response for a request without an answer from a target.
+pub fn error_response(outcome: &Outcome) -> Response {
     let reason = match outcome {
         Outcome::Done => return Response::new(StatusCode::Ok),
         Outcome::Refused(reason) | Outcome::NotRun(reason) | Outcome::Unknown(reason) => reason,
@@ -256,7 +260,7 @@
         response.insert_header("retry-after", wait.as_secs().max(1).to_string());
     }
 
-    // A body that was too large is not read to its end, so the connection cannot be used again.
+    // A body that is too large is not read to its end, so the connection cannot be reused.
     if matches!(reason, Reason::TooLarge(_) | Reason::Draining) {
         response.insert_header("connection", "close");
     }
--- a/grebedeck/src/entry/attempt.rs
+++ b/grebedeck/src/entry/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt of a request at one target.
+//! Sends one attempt of a request to one target's agent and reads the beginning of the answer.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,23 +14,23 @@
 use grebedeck_routing::{AttemptEnd, Fingerprint, LoadReport};
 use http_types::Response;
 
-use super::answer::{AnswerStream, Run, stream_response, whole_response};
+use super::answer::{AnswerStream, TargetRun, complete_response, stream_response};
 use super::request::CallerRequest;
-use super::service::{EntryService, Place};
+use super::service::{AdmissionPermit, EntryService};
 use crate::message::{
     AnswerHead, BODY_PART_BYTES, BodyDigest, FromAgent, PeerHello, ToAgent, WORK_PATH, WorkStart,
     WorkVerdict,
 };
 
-/// Answers up to this length are read whole before the caller gets their head, in bytes.
-const MAX_WHOLE_BYTES: u64 = 64 << 10;
+/// Maximum length of an answer that is read completely before the caller receives its head.
+const MAX_BUFFERED_ANSWER_BYTES: u64 = 64 << 10;
 
-/// The agent that an attempt was sent to.
+/// Agent that an attempt was sent to.
 #[derive(Clone, Copy, Debug)]
 pub struct SentTo {
-    /// Its address.
+    /// Address.
     pub agent_address: SocketAddr,
-    /// Its incarnation.
+    /// Incarnation.
     pub incarnation: Incarnation,
 }
 
@@ -38,39 +38,39 @@
 pub struct Attempt {
     /// The entry.
     pub entry: Arc<EntryService>,
-    /// The target.
+    /// Route to the target.
     pub route: Arc<Route>,
-    /// The attempt's id.
+    /// Id of the attempt.
     pub id: AttemptId,
-    /// What the request has in common with its caller's other tries.
+    /// Fingerprint of the request.
     pub fingerprint: Fingerprint,
-    /// The revision under which the request was admitted.
+    /// Revision under which the request was admitted.
     pub revision: u64,
-    /// Whether it may wait for a place on the target.
+    /// Whether it may wait in the target.
     pub may_wait: bool,
     /// When the caller stops waiting.
     pub deadline: Moment,
 }
 
 /// An answer that has begun.
-pub enum Begun {
-    /// It is here whole.
-    Whole(AnswerHead, Vec<u8>),
-    /// It is still coming.
+pub enum StartedAnswer {
+    /// A complete answer.
+    Complete(AnswerHead, Vec<u8>),
+    /// An answer that is still arriving.
     Streaming(AnswerHead, Box<AnswerStream>),
 }
 
-impl Begun {
-    /// Makes the response to the caller; the place is given back when the answer has ended.
-    pub fn into_response(self, place: Place) -> Response {
+impl StartedAnswer {
+    /// Returns the response; the permit is returned when the answer has ended.
+    pub fn into_response(self, permit: AdmissionPermit) -> Response {
         match self {
-            Begun::Whole(head, body) => whole_response(head, body),
-            Begun::Streaming(head, stream) => stream_response(head, *stream, place),
+            StartedAnswer::Complete(head, body) => complete_response(head, body),
+            StartedAnswer::Streaming(head, stream) => stream_response(head, *stream, permit),
         }
     }
 }
 
-/// Counts a request as in flight on a target until it is dropped.
+/// Counts a request as in flight at a target until it is dropped.
 pub struct InFlight {
     entry: Arc<EntryService>,
     target: String,
@@ -84,19 +84,19 @@
         InFlight { entry, target: target.to_string(), success: None }
     }
 
-    /// Notes what the request showed of the target's health.
-    pub fn judge(&mut self, success: bool) {
+    /// Sets what the request shows of the target's health; without a call it shows nothing.
+    pub fn set_success(&mut self, success: bool) {
         self.success = Some(success);
     }
 
-    /// Notes the target's load.
-    pub fn reported(&self, report: LoadReport) {
+    /// Records the target's load.
+    pub fn record_report(&self, report: LoadReport) {
         let now = self.entry.now();
 
         self.entry.state().chooser.record_report(&self.target, report, now);
     }
 
-    /// Gets the entry.
+    /// The entry.
     pub fn entry(&self) -> &Arc<EntryService> {
         &self.entry
     }
@@ -114,60 +114,61 @@
 }
 
 impl Attempt {
-    /// Sends the request and waits until the answer begins.
+    /// Sends the request and waits until the answer begins. `sent_to` is set once the agent may
+    /// receive the request.
     pub async fn run(
         &self,
         request: &CallerRequest,
-        sent: &mut Option<SentTo>,
-    ) -> std::result::Result<Begun, AttemptEnd> {
+        sent_to: &mut Option<SentTo>,
+    ) -> std::result::Result<StartedAnswer, AttemptEnd> {
         let in_flight = InFlight::new(self.entry.clone(), &self.route.name);
-        let left = self.deadline.saturating_sub(self.entry.now());
-        let begun = timeout(left, self.exchange(request, sent, in_flight)).await;
-        let begun = begun.unwrap_or(Err(AttemptEnd::Lost));
-        self.entry.counters.attempts.add(end_word(&begun));
+        let remaining = self.deadline.saturating_sub(self.entry.now());
+        let result = timeout(remaining, self.exchange(request, sent_to, in_flight)).await;
+        let result = result.unwrap_or(Err(AttemptEnd::Lost));
+        self.entry.counters.attempts.add(end_label(&result));
 
-        begun
+        result
     }
 
     async fn exchange(
         &self,
         request: &CallerRequest,
-        sent: &mut Option<SentTo>,
+        sent_to: &mut Option<SentTo>,
         mut in_flight: InFlight,
-    ) -> std::result::Result<Begun, AttemptEnd> {
+    ) -> std::result::Result<StartedAnswer, AttemptEnd> {
         let opened = self.open().await;
 
         let Ok((mut stream, hello)) = opened else {
-            in_flight.judge(false);
+            in_flight.set_success(false);
             return Err(AttemptEnd::NotSent);
         };
 
         let agent_address = self.route.agent_address;
-        *sent = Some(SentTo { agent_address, incarnation: hello.incarnation });
+        *sent_to = Some(SentTo { agent_address, incarnation: hello.incarnation });
 
-        let answered = {
-            let talking = self.talk(request, &hello, &mut stream);
+        let first_frame = {
+            let sending = self.send_request(request, &hello, &mut stream);
             let silent = self.entry.directory.silent(agent_address);
-            futures::pin_mut!(talking, silent);
+            futures::pin_mut!(sending, silent);
 
-            match futures::future::select(talking, silent).await {
-                Either::Left((answered, _)) => answered.ok(),
+            match futures::future::select(sending, silent).await {
+                Either::Left((first_frame, _)) => first_frame.ok(),
                 Either::Right(_) => None,
             }
         };
 
-        match answered {
+        match first_frame {
             Some((first, reader)) => {
-                let run = Run {
+                let run = TargetRun {
                     suspects: self.entry.suspects.clone(),
                     target: self.route.name.clone(),
                     incarnation: hello.incarnation,
                     fingerprint: self.fingerprint,
                 };
-                self.take_first(first, reader, stream, in_flight, run).await
+                self.handle_first_frame(first, reader, stream, in_flight, run).await
             }
             None => {
-                in_flight.judge(false);
+                in_flight.set_success(false);
                 Err(AttemptEnd::Lost)
             }
         }
@@ -178,13 +179,13 @@
             self.entry.directory.peer(self.route.agent_address).await?;
 
         if hello.name != self.route.name {
-            return grebedeck_core::error::protocol_error("another target has the address");
+            return grebedeck_core::error::protocol_error("address belongs to another target");
         }
 
         Ok((link.open(WORK_PATH).await?, hello))
     }
 
-    async fn talk(
+    async fn send_request(
         &self,
         request: &CallerRequest,
         hello: &PeerHello,
@@ -199,9 +200,9 @@
         Ok((first, reader))
     }
 
-    /// Encodes the whole request, so that a small one leaves in one piece.
+    /// Encodes the complete request, so that a small one is sent in one piece.
     fn encode(&self, request: &CallerRequest, hello: &PeerHello) -> Result<BytesMut> {
-        let left = self.deadline.saturating_sub(self.entry.now());
+        let remaining = self.deadline.saturating_sub(self.entry.now());
         let start = WorkStart {
             attempt: self.id,
             incarnation: hello.incarnation,
@@ -211,7 +212,7 @@
             may_wait: self.may_wait,
             key: request.key,
             sent_unix_ms: unix_ms(),
-            deadline_ms: Some(left.as_millis() as u64),
+            deadline_ms: Some(remaining.as_millis() as u64),
             method: request.method.clone(),
             path: request.path.clone(),
             headers: request.headers.clone(),
@@ -230,42 +231,47 @@
         Ok(frames)
     }
 
-    async fn take_first(
+    async fn handle_first_frame(
         &self,
         first: FromAgent,
         reader: FrameReader,
         stream: Stream,
         mut in_flight: InFlight,
-        run: Run,
-    ) -> std::result::Result<Begun, AttemptEnd> {
+        run: TargetRun,
+    ) -> std::result::Result<StartedAnswer, AttemptEnd> {
         let head = match first {
             FromAgent::Verdict(verdict, report) => {
-                in_flight.reported(report);
-                return Err(self.take_verdict(verdict, in_flight, &run));
+                in_flight.record_report(report);
+                return Err(self.handle_verdict(verdict, in_flight, &run));
             }
             FromAgent::Head(head) if head.attempt == self.id => head,
-            // Whatever else comes first is of no use to this caller.
+            // Any other first frame is of no use to this caller.
             _ => {
-                in_flight.judge(false);
+                in_flight.set_success(false);
                 return Err(AttemptEnd::Lost);
             }
         };
 
-        let whole = head.len_bytes.is_some_and(|len| len <= MAX_WHOLE_BYTES);
+        let is_short = head.len_bytes.is_some_and(|len| len <= MAX_BUFFERED_ANSWER_BYTES);
         let mut answer =
             AnswerStream::new(self.id, self.route.agent_address, reader, stream, in_flight, run);
 
-        if !whole {
-            return Ok(Begun::Streaming(head, Box::new(answer)));
+        if !is_short {
+            return Ok(StartedAnswer::Streaming(head, Box::new(answer)));
         }
 
-        match answer.read_whole().await {
-            Ok(body) => Ok(Begun::Whole(head, body)),
+        match answer.read_to_end().await {
+            Ok(body) => Ok(StartedAnswer::Complete(head, body)),
             Err(_) => Err(AttemptEnd::Lost),
         }
     }
 
-    fn take_verdict(&self, verdict: WorkVerdict, mut in_flight: InFlight, run: &Run) -> AttemptEnd {
+    fn handle_verdict(
+        &self,
+        verdict: WorkVerdict,
+        mut in_flight: InFlight,
+        run: &TargetRun,
+    ) -> AttemptEnd {
         match verdict {
             WorkVerdict::Refused(reason) => {
                 if reason == Reason::Draining {
@@ -274,26 +280,26 @@
                 }
 
                 if reason == Reason::Unreachable {
-                    in_flight.judge(false);
+                    in_flight.set_success(false);
                 }
 
                 AttemptEnd::Refused(reason)
             }
             WorkVerdict::InDoubt(reason) => AttemptEnd::InDoubt(reason),
             WorkVerdict::TargetFailed => {
-                in_flight.judge(false);
+                in_flight.set_success(false);
                 AttemptEnd::TargetFailed
             }
             WorkVerdict::TargetCrashed { crash } => {
-                in_flight.judge(false);
-                run.crashed(crash);
+                in_flight.set_success(false);
+                run.record_crash(crash);
                 AttemptEnd::TargetFailed
             }
         }
     }
 }
 
-fn end_word(end: &std::result::Result<Begun, AttemptEnd>) -> &'static str {
+fn end_label(end: &std::result::Result<StartedAnswer, AttemptEnd>) -> &'static str {
     match end {
         Ok(_) => "begun",
         Err(AttemptEnd::NotSent) => "not_sent",
--- a/grebedeck/src/entry/dispatch.rs
+++ b/grebedeck/src/entry/dispatch.rs
@@ -1,4 +1,4 @@
-//! Taking one request through its attempts.
+//! Runs the attempts of a request until one is answered or no further one is allowed.
 
 use std::sync::Arc;
 
@@ -8,57 +8,64 @@
 use grebedeck_routing::{AttemptEnd, Fingerprint, Next, StrikeAnswer};
 use http_types::Response;
 
-use super::attempt::{Attempt, Begun, SentTo};
+use super::attempt::{Attempt, SentTo, StartedAnswer};
 use super::request::CallerRequest;
-use super::service::{EntryService, Place};
+use super::service::{AdmissionPermit, EntryService};
 use crate::message::{Control, ControlAnswer};
 use crate::random::{ProcessRandom, request_id};
 
-/// One request under way.
+/// A request in progress.
 struct Dispatch {
     entry: Arc<EntryService>,
     request: CallerRequest,
     fingerprint: Fingerprint,
-    /// The targets that the request may go to from this entry.
-    part: Vec<Arc<Route>>,
+    /// Targets that this entry may select for the request.
+    candidates: Vec<Arc<Route>>,
     revision: Revision,
+    /// Target of a request with a key, which always goes to the same one.
     home: Option<Arc<Route>>,
     tried: Vec<TargetName>,
-    sent: Option<SentTo>,
-    /// Whether the current attempt may wait for a place.
+    /// Agent that the current attempt was sent to.
+    sent_to: Option<SentTo>,
+    /// Whether the current attempt may wait in the target.
     may_wait: bool,
     deadline: Moment,
 }
 
 impl EntryService {
-    /// Takes a request through its attempts to its answer.
+    /// Sends a request to one target after another until it is answered or no further attempt is
+    /// allowed.
     pub(super) async fn dispatch(
         self: Arc<Self>,
         request: CallerRequest,
         revision: Revision,
-        part: Vec<Arc<Route>>,
-        place: Place,
+        candidates: Vec<Arc<Route>>,
+        permit: AdmissionPermit,
     ) -> Result<Response, Outcome> {
-        let mut dispatch = Dispatch::try_new(self, request, revision, part)?;
+        let mut dispatch = Dispatch::try_new(self, request, revision, candidates)?;
         let mut tracker = AttemptTracker::new(dispatch.request.traits);
         let id = request_id();
         dispatch.entry.state().retries.deposit();
 
         loop {
-            // Sent on after each crash, one request takes target after target down.
-            if let Err(left) = dispatch.entry.suspects.cleared(dispatch.fingerprint).await {
-                return Err(tracker.outcome_if_unsent(Reason::Quarantined(left)));
+            // A request that crashes its targets would take down one target after another if it
+            // were retried after each crash.
+            if let Err(remaining) =
+                dispatch.entry.suspects.wait_for_clearance(dispatch.fingerprint).await
+            {
+                return Err(tracker.outcome_if_unsent(Reason::Quarantined(remaining)));
             }
 
             let attempt = AttemptId { request: id, number: tracker.number() };
-            let end = match dispatch.attempt(attempt, tracker.is_last()).await {
-                Ok(begun) => return Ok(begun.into_response(place)),
+            let end = match dispatch.run_attempt(attempt, tracker.is_last()).await {
+                Ok(answer) => return Ok(answer.into_response(permit)),
                 Err(end) => end,
             };
 
-            // A target that was only asked for a free place costs nothing from the budget.
-            let only_asked = end == AttemptEnd::Refused(Reason::TargetBusy) && !dispatch.may_wait;
-            let mut next = tracker.record_end(end, || only_asked || dispatch.may_retry());
+            // An attempt that could not wait and found no free slot costs nothing from the retry
+            // budget.
+            let found_busy = end == AttemptEnd::Refused(Reason::TargetBusy) && !dispatch.may_wait;
+            let mut next = tracker.record_end(end, || found_busy || dispatch.may_retry());
 
             if next == Next::Strike {
                 let end = dispatch.strike(attempt).await;
@@ -66,8 +73,8 @@
             }
 
             match next {
-                Next::Retry if only_asked => {}
-                Next::Retry => dispatch.wait(tracker.number()).await,
+                Next::Retry if found_busy => {}
+                Next::Retry => dispatch.backoff(tracker.number()).await,
                 Next::Answer(outcome) => return Err(outcome),
                 Next::Strike => return Err(Outcome::Unknown(Reason::ConnectionLost)),
             }
@@ -80,7 +87,7 @@
         entry: Arc<EntryService>,
         request: CallerRequest,
         revision: Revision,
-        part: Vec<Arc<Route>>,
+        candidates: Vec<Arc<Route>>,
     ) -> Result<Self, Outcome> {
         let home = match &request.key {
             Some(key) => Some(
@@ -92,26 +99,30 @@
             None => None,
         };
 
-        let deadline = entry.now() + request.deadline.unwrap_or(entry.answer_limit);
+        let deadline = entry.now() + request.deadline.unwrap_or(entry.answer_timeout);
         let tried = Vec::new();
         Ok(Dispatch {
             entry,
             fingerprint: request.fingerprint(),
             request,
-            part,
+            candidates,
             revision,
             home,
             tried,
-            sent: None,
+            sent_to: None,
             may_wait: true,
             deadline,
         })
     }
 
-    async fn attempt(&mut self, id: AttemptId, is_last: bool) -> Result<Begun, AttemptEnd> {
+    async fn run_attempt(
+        &mut self,
+        id: AttemptId,
+        is_last: bool,
+    ) -> Result<StartedAnswer, AttemptEnd> {
         let route = self.choose().ok_or(AttemptEnd::Refused(Reason::Draining))?;
         self.tried.push(route.name.clone());
-        self.may_wait = is_last || !self.expects_free_place();
+        self.may_wait = is_last || !self.expects_free_slot();
 
         let attempt = Attempt {
             entry: self.entry.clone(),
@@ -123,8 +134,8 @@
             deadline: self.deadline,
         };
 
-        self.sent = None;
-        attempt.run(&self.request, &mut self.sent).await
+        self.sent_to = None;
+        attempt.run(&self.request, &mut self.sent_to).await
     }
 
     fn choose(&self) -> Option<Arc<Route>> {
@@ -135,41 +146,41 @@
         let entry = &self.entry;
         let random = &mut ProcessRandom::default();
 
-        entry.state().chooser.choose(&self.part, &self.tried, entry.now(), random).cloned()
+        entry.state().chooser.choose(&self.candidates, &self.tried, entry.now(), random).cloned()
     }
 
-    /// Tells whether a target that was not tried yet is expected to have a free place.
-    fn expects_free_place(&self) -> bool {
+    /// Whether a target that was not tried yet is expected to have a free slot.
+    fn expects_free_slot(&self) -> bool {
         let now = self.entry.now();
 
         self.home.is_none()
-            && self.entry.state().chooser.expects_free_slot(&self.part, &self.tried, now)
+            && self.entry.state().chooser.expects_free_slot(&self.candidates, &self.tried, now)
     }
 
-    /// Tells whether time and budget allow another attempt, and takes it from the budget.
+    /// Whether deadline and budget allow another attempt; withdraws it from the budget.
     fn may_retry(&self) -> bool {
         self.entry.now() < self.deadline && self.entry.state().retries.try_withdraw()
     }
 
-    /// Asks the agent to strike out an attempt whose connection was lost.
+    /// Asks the agent to cancel an attempt whose connection was lost, if it has not started.
     async fn strike(&self, attempt: AttemptId) -> AttemptEnd {
-        let Some(sent) = &self.sent else {
+        let Some(sent_to) = &self.sent_to else {
             return AttemptEnd::NotStruck;
         };
 
-        // An agent of another incarnation cannot speak for the one that had the attempt, and says
-        // so itself.
-        let message = Control::Strike { attempt, incarnation: sent.incarnation };
+        // An agent of another incarnation cannot answer for the one that received the attempt, and
+        // refuses.
+        let message = Control::Strike { attempt, incarnation: sent_to.incarnation };
 
-        match self.entry.directory.control(sent.agent_address, &message).await {
+        match self.entry.directory.control(sent_to.agent_address, &message).await {
             Ok(ControlAnswer::Strike(StrikeAnswer::Struck)) => AttemptEnd::Struck,
             _ => AttemptEnd::NotStruck,
         }
     }
 
-    async fn wait(&self, number: u32) {
-        let wait = retry_backoff(number, ProcessRandom::default().unit());
+    async fn backoff(&self, number: u32) {
+        let backoff = retry_backoff(number, ProcessRandom::default().unit());
 
-        async_std::task::sleep(wait).await;
+        async_std::task::sleep(backoff).await;
     }
 }
--- a/grebedeck/src/entry/request.rs
+++ b/grebedeck/src/entry/request.rs
@@ -1,4 +1,4 @@
-//! Reading a caller's request.
+//! Parses a caller's request and reads its body, within the entry's memory budget for bodies.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -11,88 +11,88 @@
 use grebedeck_routing::{Fingerprint, Identity, Key, RequestTraits};
 use http_types::{Method, Request};
 
-/// Names the organisation.
+/// Header with the organisation.
 pub const ORGANISATION_HEADER: &str = "grebedeck-organisation";
-/// Names the service.
+/// Header with the service.
 pub const SERVICE_HEADER: &str = "grebedeck-service";
-/// `yes` or `no`: whether the request may run more than once.
+/// Header that says whether the request may run more than once: `yes` or `no`.
 pub const REPEATABLE_HEADER: &str = "grebedeck-repeatable";
-/// How long the caller waits, in milliseconds.
+/// Header with the time for which the caller waits, in milliseconds.
 pub const DEADLINE_HEADER: &str = "grebedeck-deadline-ms";
-/// The caller's key for a request that runs at most once.
+/// Header with the caller's key for a request that runs at most once.
 pub const KEY_HEADER: &str = "idempotency-key";
-/// When the caller issued the key, in milliseconds since the Unix epoch.
+/// Header with the time when the caller issued the key, in Unix milliseconds.
 pub const KEY_ISSUED_HEADER: &str = "idempotency-issued-ms";
 
-/// How long a caller is told to wait where the budget for bodies is used up.
-const BUDGET_WAIT: Duration = Duration::from_secs(1);
-/// Longest key, in bytes.
+/// Delay that a caller is asked for when the memory budget for bodies is exhausted.
+const BUDGET_RETRY_AFTER: Duration = Duration::from_secs(1);
+/// Maximum length of a key.
 const MAX_KEY_BYTES: usize = 255;
 
-/// Limits on a request's body.
+/// Limits on the body of a request.
 #[derive(Clone, Copy, Debug)]
 pub struct BodyLimits {
-    /// Largest body, in bytes.
+    /// Maximum size in bytes.
     pub max_bytes: usize,
-    /// How long it may take to arrive.
-    pub limit: Duration,
+    /// Maximum time for receiving it.
+    pub timeout: Duration,
 }
 
-/// Bytes that all requests of an entry may hold in memory together.
+/// Memory budget for the bodies of all requests of an entry.
 #[derive(Debug)]
-pub struct BodyBudget {
+pub struct BodyMemoryBudget {
     max_bytes: usize,
     used_bytes: AtomicUsize,
 }
 
-/// Part of a budget, given back when it is dropped.
+/// Reserved part of the budget, returned when this is dropped.
 #[derive(Debug)]
-pub struct Reserved {
-    budget: Arc<BodyBudget>,
+pub struct BodyReservation {
+    budget: Arc<BodyMemoryBudget>,
     bytes: usize,
 }
 
-impl BodyBudget {
-    /// Makes an unused budget.
+impl BodyMemoryBudget {
+    /// Creates an unused budget.
     pub fn new(max_bytes: usize) -> Self {
-        BodyBudget { max_bytes, used_bytes: AtomicUsize::new(0) }
+        BodyMemoryBudget { max_bytes, used_bytes: AtomicUsize::new(0) }
     }
 
-    /// Takes a part, or says that there is not enough left.
-    pub fn reserve(self: &Arc<Self>, bytes: usize) -> Result<Reserved, Reason> {
+    /// Reserves a part; fails with [`Reason::Overloaded`] if too little is left.
+    pub fn reserve(self: &Arc<Self>, bytes: usize) -> Result<BodyReservation, Reason> {
         let take = |used: usize| Some(used + bytes).filter(|sum| *sum <= self.max_bytes);
         let taken = self.used_bytes.fetch_update(Ordering::Relaxed, Ordering::Relaxed, take);
 
         match taken {
-            Ok(_) => Ok(Reserved { budget: self.clone(), bytes }),
-            Err(_) => Err(Reason::Overloaded(BUDGET_WAIT)),
+            Ok(_) => Ok(BodyReservation { budget: self.clone(), bytes }),
+            Err(_) => Err(Reason::Overloaded(BUDGET_RETRY_AFTER)),
         }
     }
 
-    /// Gets the bytes that are taken.
+    /// Number of reserved bytes.
     pub fn used_bytes(&self) -> usize {
         self.used_bytes.load(Ordering::Relaxed)
     }
 }
 
-impl Drop for Reserved {
+impl Drop for BodyReservation {
     fn drop(&mut self) {
         self.budget.used_bytes.fetch_sub(self.bytes, Ordering::Relaxed);
     }
 }
 
-/// A caller's request, whole.
+/// A caller's request with its complete body.
 #[derive(Debug)]
 pub struct CallerRequest {
-    /// The organisation that it names.
+    /// Organisation of the caller.
     pub organisation: OrganisationName,
-    /// The service that it names.
+    /// Requested service.
     pub service: ServiceName,
-    /// What it allows.
+    /// Whether it may be repeated, and whether it has a key.
     pub traits: RequestTraits,
-    /// Its key, if any.
+    /// Idempotency key, if any.
     pub key: Option<Key>,
-    /// How long the caller waits, if it says so.
+    /// Time for which the caller waits, if specified.
     pub deadline: Option<Duration>,
     /// HTTP method.
     pub method: String,
@@ -100,39 +100,39 @@
     pub path: String,
     /// End-to-end headers.
     pub headers: Vec<(String, String)>,
-    /// The whole body.
+    /// Complete body.
     pub body: Vec<u8>,
-    /// What it holds of the entry's budget for bodies.
-    pub reserved: Option<Reserved>,
+    /// Its part of the memory budget for bodies.
+    pub reservation: Option<BodyReservation>,
 }
 
 impl CallerRequest {
-    /// Reads a request with its body.
+    /// Parses a request and reads its body.
     pub async fn try_new(
         mut request: Request,
         limits: BodyLimits,
-        budget: &Arc<BodyBudget>,
+        budget: &Arc<BodyMemoryBudget>,
     ) -> Result<Self, Reason> {
-        let mut read = Self::read_head(&request)?;
-        // A body without a length may be as long as any.
+        let mut parsed = Self::read_head(&request)?;
+        // A body without a declared length may have the maximum size.
         let expected = request.len().unwrap_or(limits.max_bytes);
 
         if expected > limits.max_bytes {
             return Err(Reason::TooLarge(limits.max_bytes as u64));
         }
 
-        read.reserved = Some(budget.reserve(expected)?);
-        read.body = read_body(&mut request, limits).await?;
+        parsed.reservation = Some(budget.reserve(expected)?);
+        parsed.body = read_body(&mut request, limits).await?;
 
-        Ok(read)
+        Ok(parsed)
     }
 
-    /// Gets the identity that it has in common with other tries of its caller.
+    /// Fingerprint, which a caller's repetitions of the same request share.
     pub fn fingerprint(&self) -> Fingerprint {
         let identity = Identity {
             caller: &self.organisation,
             method: &self.method,
-            // Of a service's paths each means one thing.
+            // A path has the same meaning for all targets of a service.
             host: &self.service,
             path: &self.path,
             body: &self.body,
@@ -142,19 +142,21 @@
     }
 
     fn read_head(request: &Request) -> Result<Self, Reason> {
-        let organisation = required(request, ORGANISATION_HEADER)?;
-        let service = required(request, SERVICE_HEADER)?;
-        let issued: Option<UnixMs> = number(request, KEY_ISSUED_HEADER)?;
-        let key = match header(request, KEY_HEADER)? {
+        let organisation = required_header(request, ORGANISATION_HEADER)?;
+        let service = required_header(request, SERVICE_HEADER)?;
+        let issued: Option<UnixMs> = optional_number(request, KEY_ISSUED_HEADER)?;
+        let key = match single_header(request, KEY_HEADER)? {
             Some(text) if text.is_empty() || text.len() > MAX_KEY_BYTES => {
-                return Err(bad(format!("{KEY_HEADER}: expected 1 to {MAX_KEY_BYTES} characters")));
+                return Err(bad_request(format!(
+                    "{KEY_HEADER}: expected 1 to {MAX_KEY_BYTES} characters"
+                )));
             }
             Some(text) => Some(Key::new(&organisation, &service, &text, issued)),
             None => None,
         };
 
         let traits = RequestTraits {
-            repeatable: key.is_none() && repeatable(request)?,
+            repeatable: key.is_none() && is_repeatable(request)?,
             keyed: key.is_some(),
         };
         let url = request.url();
@@ -168,22 +170,24 @@
             service,
             traits,
             key,
-            deadline: number(request, DEADLINE_HEADER)?.map(Duration::from_millis),
+            deadline: optional_number(request, DEADLINE_HEADER)?.map(Duration::from_millis),
             method: request.method().to_string(),
             path,
             headers: end_to_end_headers(request.as_ref()),
             body: Vec::new(),
-            reserved: None,
+            reservation: None,
         })
     }
 }
 
-/// Tells whether a request may run more than once: as it says, or else as its method says.
-fn repeatable(request: &Request) -> Result<bool, Reason> {
-    match header(request, REPEATABLE_HEADER)?.as_deref() {
+/// Whether a request may run more than once: as its header says, or else by its method.
+fn is_repeatable(request: &Request) -> Result<bool, Reason> {
+    match single_header(request, REPEATABLE_HEADER)?.as_deref() {
         Some("yes") => Ok(true),
         Some("no") => Ok(false),
-        Some(other) => Err(bad(format!("{REPEATABLE_HEADER}: `{other}`: expected `yes` or `no`"))),
+        Some(other) => {
+            Err(bad_request(format!("{REPEATABLE_HEADER}: `{other}`: expected `yes` or `no`")))
+        }
         None => Ok(matches!(
             request.method(),
             Method::Get | Method::Head | Method::Options | Method::Put | Method::Delete
@@ -197,40 +201,42 @@
     let mut body = Vec::with_capacity(request.len().unwrap_or(0));
     let mut limited = request.take_body().take(limits.max_bytes as u64 + 1);
 
-    match timeout(limits.limit, limited.read_to_end(&mut body)).await {
+    match timeout(limits.timeout, limited.read_to_end(&mut body)).await {
         Ok(Ok(_)) if body.len() > limits.max_bytes => Err(too_large),
         Ok(Ok(_)) => Ok(body),
-        Ok(Err(error)) => Err(bad(format!("body: {error}"))),
-        Err(_) => Err(bad(format!("body: not whole within {:?}", limits.limit))),
+        Ok(Err(error)) => Err(bad_request(format!("body: {error}"))),
+        Err(_) => Err(bad_request(format!("body: not whole within {:?}", limits.timeout))),
     }
 }
 
-fn header(request: &Request, name: &str) -> Result<Option<String>, Reason> {
+fn single_header(request: &Request, name: &str) -> Result<Option<String>, Reason> {
     match request.header(name) {
         None => Ok(None),
-        Some(values) if values.iter().count() > 1 => Err(bad(format!("{name}: sent twice"))),
+        Some(values) if values.iter().count() > 1 => {
+            Err(bad_request(format!("{name}: sent twice")))
+        }
         Some(values) => Ok(Some(values.as_str().to_string())),
     }
 }
 
-fn required(request: &Request, name: &str) -> Result<String, Reason> {
-    match header(request, name)? {
+fn required_header(request: &Request, name: &str) -> Result<String, Reason> {
+    match single_header(request, name)? {
         Some(value) if !value.is_empty() => Ok(value),
-        _ => Err(bad(format!("{name}: missing"))),
+        _ => Err(bad_request(format!("{name}: missing"))),
     }
 }
 
-fn number(request: &Request, name: &str) -> Result<Option<u64>, Reason> {
-    let Some(text) = header(request, name)? else {
+fn optional_number(request: &Request, name: &str) -> Result<Option<u64>, Reason> {
+    let Some(text) = single_header(request, name)? else {
         return Ok(None);
     };
 
     match text.parse() {
         Ok(number) => Ok(Some(number)),
-        Err(_) => Err(bad(format!("{name}: `{text}`: expected a whole number"))),
+        Err(_) => Err(bad_request(format!("{name}: `{text}`: expected a whole number"))),
     }
 }
 
-fn bad(what: String) -> Reason {
+fn bad_request(what: String) -> Reason {
     Reason::BadRequest(what)
 }
--- a/grebedeck/src/entry/service.rs
+++ b/grebedeck/src/entry/service.rs
@@ -1,4 +1,4 @@
-//! The entry's state and its handling of one request.
+//! State of the entry, and the path of a request from its arrival to the first attempt.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -13,38 +13,38 @@
 use http_types::{Request, Response};
 use serde_json::{Value, json};
 
-use super::answer::refusal;
-use super::request::{BodyBudget, BodyLimits, CallerRequest};
+use super::answer::error_response;
+use super::request::{BodyLimits, BodyMemoryBudget, CallerRequest};
 use super::suspects::Suspects;
 use crate::config::{self, ConfigService};
 use crate::directory::{self, Directory};
 use crate::settings::{EntrySettings, millis};
 
-/// How often views of targets that are gone are dropped.
-const FORGET_PERIOD: Duration = Duration::from_secs(60);
+/// Interval at which views of targets that the configuration no longer contains are evicted.
+const EVICT_INTERVAL: Duration = Duration::from_secs(60);
 
-/// What the request path counts.
+/// Metrics of the request path.
 pub struct EntryCounters {
     /// Requests by outcome.
     pub outcomes: Counter,
-    /// Attempts by how they ended.
+    /// Attempts by result.
     pub attempts: Counter,
-    /// Targets put aside.
+    /// Ejections of targets, by cause.
     pub ejections: Counter,
 }
 
-/// Decisions that are shared by all requests of the entry.
+/// State of the decisions that all requests of the entry share.
 pub struct EntryState {
-    /// Places for requests.
+    /// Admission of requests.
     pub admission: Admission,
-    /// The view of the targets.
+    /// Selection of targets, with the entry's view of their load and health.
     pub chooser: Chooser,
-    /// The budget for retries.
+    /// Budget for retries.
     pub retries: RetryBudget,
     stopping: bool,
 }
 
-/// The entry's service.
+/// Service of the entry.
 pub struct EntryService {
     pub(super) clock: Clock,
     name: String,
@@ -52,29 +52,29 @@
     pub(super) config: Arc<ConfigService>,
     pub(super) directory: Arc<Directory>,
     pub(super) counters: EntryCounters,
-    pub(super) answer_limit: Duration,
+    pub(super) answer_timeout: Duration,
     pub(super) spread_limit: Duration,
     subset_targets: usize,
     body_limits: BodyLimits,
-    body_budget: Arc<BodyBudget>,
+    body_memory: Arc<BodyMemoryBudget>,
     pub(super) suspects: Arc<Suspects>,
     state: Mutex<EntryState>,
 }
 
-/// A place in the admission, given back when it is dropped.
-pub struct Place {
+/// Permit of an admitted request; it is returned when this is dropped.
+pub struct AdmissionPermit {
     entry: Arc<EntryService>,
     organisation: OrganisationName,
 }
 
-impl Drop for Place {
+impl Drop for AdmissionPermit {
     fn drop(&mut self) {
         self.entry.state().admission.leave(&self.organisation);
     }
 }
 
 impl EntryService {
-    /// Makes the service; the kernel must have the configuration and the peers.
+    /// Creates the service; the kernel must have the configuration and the directory of peers.
     pub fn new(settings: &EntrySettings, clock: Clock, kernel: &Kernel, metrics: &Metrics) -> Self {
         let admission = AdmissionOptions {
             max_in_flight: settings.max_in_flight,
@@ -99,26 +99,26 @@
             config: kernel.require::<ConfigService>(config::NAME),
             directory: kernel.require::<Directory>(directory::NAME),
             counters,
-            answer_limit: millis(settings.answer_limit_ms),
+            answer_timeout: millis(settings.answer_limit_ms),
             spread_limit: millis(settings.spread_limit_ms),
             subset_targets: settings.subset_targets,
             body_limits: BodyLimits {
                 max_bytes: settings.max_body_bytes,
-                limit: millis(settings.body_limit_ms),
+                timeout: millis(settings.body_limit_ms),
             },
-            body_budget: Arc::new(BodyBudget::new(settings.max_buffered_bytes)),
+            body_memory: Arc::new(BodyMemoryBudget::new(settings.max_buffered_bytes)),
             suspects: kernel.register("suspects", Suspects::new(clock, metrics)),
             state: Mutex::new(state),
         }
     }
 
-    /// Answers one request of a caller.
+    /// Handles a caller's request and returns the response.
     pub async fn respond(self: Arc<Self>, request: Request) -> Response {
         match self.clone().serve(request).await {
             Ok(response) => response,
             Err(outcome) => {
                 self.counters.outcomes.add(outcome.word());
-                refusal(&outcome)
+                error_response(&outcome)
             }
         }
     }
@@ -128,18 +128,18 @@
             return Err(Outcome::NotRun(Reason::Draining));
         }
 
-        let read = CallerRequest::try_new(request, self.body_limits, &self.body_budget).await;
+        let read = CallerRequest::try_new(request, self.body_limits, &self.body_memory).await;
         let request = read.map_err(Outcome::Refused)?;
         let routes = self.config.routes();
-        let allowed = self.allowed(&routes, &request)?;
-        let part = self.part_of(&allowed);
-        let place = self.enter(&request.organisation, &part)?;
+        let allowed = self.allowed_targets(&routes, &request)?;
+        let candidates = self.candidates_from(&allowed);
+        let permit = self.admit(&request.organisation, &candidates)?;
 
-        self.dispatch(request, routes.revision(), part, place).await
+        self.dispatch(request, routes.revision(), candidates, permit).await
     }
 
-    /// Gets the targets that the selectors allow, or why there are none.
-    fn allowed(
+    /// Targets that the selectors allow, or the reason why there are none.
+    fn allowed_targets(
         &self,
         routes: &Routes,
         request: &CallerRequest,
@@ -157,28 +157,32 @@
         allowed.cloned().ok_or(Outcome::Refused(Reason::NoCapacity))
     }
 
-    fn enter(self: &Arc<Self>, organisation: &str, part: &[Arc<Route>]) -> Result<Place, Outcome> {
+    fn admit(
+        self: &Arc<Self>,
+        organisation: &str,
+        candidates: &[Arc<Route>],
+    ) -> Result<AdmissionPermit, Outcome> {
         let now = self.now();
         let mut state = self.state();
-        let crowded = state.chooser.is_crowded(part, now);
+        let is_crowded = state.chooser.is_crowded(candidates, now);
 
-        state.admission.enter(organisation, crowded).map_err(Outcome::Refused)?;
-        Ok(Place { entry: self.clone(), organisation: organisation.to_string() })
+        state.admission.enter(organisation, is_crowded).map_err(Outcome::Refused)?;
+        Ok(AdmissionPermit { entry: self.clone(), organisation: organisation.to_string() })
     }
 
-    /// Gets the allowed targets that this entry spreads its requests over.
-    fn part_of(&self, allowed: &[Arc<Route>]) -> Vec<Arc<Route>> {
+    /// Subset of the allowed targets over which this entry spreads its requests.
+    fn candidates_from(&self, allowed: &[Arc<Route>]) -> Vec<Arc<Route>> {
         let size = self.subset_targets;
         let options = SubsetOptions { size, in_other_halls: size / 2 };
 
         subset(allowed, &self.name, &self.hall, options)
     }
 
-    /// Drops the views of targets that the configuration no longer has, now and then, until the task
-    /// is dropped.
-    pub async fn forget_gone(self: Arc<Self>) {
+    /// Periodically evicts the views of targets that the configuration no longer contains, until
+    /// the task is dropped.
+    pub async fn evict_removed_targets(self: Arc<Self>) {
         loop {
-            async_std::task::sleep(FORGET_PERIOD).await;
+            async_std::task::sleep(EVICT_INTERVAL).await;
             let routes = self.config.routes();
             self.state().chooser.retain(|name| routes.targets().contains_key(name));
         }
@@ -194,7 +198,8 @@
     }
 
     pub(super) fn state(&self) -> MutexGuard<'_, EntryState> {
-        // Every holder leaves the state whole, so a poisoned lock is still good.
+        // No holder of the lock leaves the state inconsistent when it panics, so a poisoned lock
+        // can be used.
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
@@ -206,7 +211,7 @@
         json!({
             "in_flight": state.admission.in_flight(),
             "active_organisations": state.admission.active_organisations(),
-            "buffered_bytes": self.body_budget.used_bytes(),
+            "buffered_bytes": self.body_memory.used_bytes(),
             "target_views": state.chooser.view_count(),
             "stopping": state.stopping,
         })
--- a/grebedeck/src/entry/suspects.rs
+++ b/grebedeck/src/entry/suspects.rs
@@ -1,8 +1,10 @@
-//! Requests under which targets crash, as an entry meets them.
+//! Tracks requests that crash their targets, for the entry.
 //!
-//! Agents say whether their target crashed under an attempt; whom that speaks against and who is not sent any more is
-//! [`Quarantine`]'s to decide. Entries tell each other at once, and ask one another from time to time, so that one that starts
-//! later or was cut off knows it as well. What is in quarantine is in the table service, for when all entries are gone.
+//! Agents report whether their target crashed under an attempt; [`Quarantine`] decides which
+//! requests are suspects and which are no longer sent. Entries send each other what they observe at
+//! once, and request each other's state from time to time, so that an entry that starts later or
+//! was cut off catches up. The requests in quarantine are also stored in the table service, in case
+//! no entry keeps running.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -29,35 +31,38 @@
 use crate::random::ProcessRandom;
 use crate::settings::CommonSettings;
 
-/// How often another entry is asked: it is one call an entry.
-const ASK_PERIOD: Duration = Duration::from_secs(1);
-/// Key of the requests in quarantine in the table service.
+/// Interval between requests for another entry's state; each is one call to one entry.
+const SNAPSHOT_INTERVAL: Duration = Duration::from_secs(1);
+/// Key in the table service.
 const TABLE_KEY: &str = "quarantine";
-/// How often a write is tried whose condition did not hold, as another entry wrote in between.
-const MAX_WRITE_TRIES: u32 = 5;
-/// First pause after a failed call to the table service.
-const RETRY_PAUSE: Duration = Duration::from_millis(500);
-/// Longest pause: outages of the table service last hours.
-const MAX_RETRY_PAUSE: Duration = Duration::from_secs(8);
-
-/// What an entry knows of crashes.
+/// Maximum number of attempts at a write whose condition fails because another entry has written.
+const MAX_WRITE_ATTEMPTS: u32 = 5;
+/// First backoff after a failed call to the table service.
+const MIN_RETRY_BACKOFF: Duration = Duration::from_millis(500);
+/// Maximum backoff; outages of the table service last hours.
+const MAX_RETRY_BACKOFF: Duration = Duration::from_secs(8);
+
+/// The entry's records of crashes and its quarantine.
 pub struct Suspects {
     clock: Clock,
     quarantine: Mutex<Quarantine>,
+    /// Notified when a request's clearance may have changed.
     changed: Event,
-    news: Event,
+    /// Notified when there are updates to send or store.
+    updates: Event,
     counter: Counter,
 }
 
-/// A request in quarantine, in the table service; its key there is the fingerprint in hexadecimal digits.
+/// A request in quarantine, as stored in the table service under its fingerprint in hexadecimal
+/// digits.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
-struct Buffer {
+struct StoredRequest {
     trials: u32,
     written_unix_ms: UnixMs,
 }
 
 impl Suspects {
-    /// Makes an entry's view, which knows of no crash.
+    /// Creates records without any crash.
     pub fn new(clock: Clock, metrics: &Metrics) -> Self {
         let counter = metrics.counter(
             "grebedeck_quarantine",
@@ -69,32 +74,35 @@
             clock,
             quarantine: Mutex::default(),
             changed: Event::new(),
-            news: Event::new(),
+            updates: Event::new(),
             counter,
         }
     }
 
-    /// Waits until it is known whether a request may be sent; fails with the time until it may be tried again.
-    pub async fn cleared(&self, request: Fingerprint) -> std::result::Result<(), Duration> {
+    /// Waits until a request may be sent; fails with the time until it may be tried again.
+    pub async fn wait_for_clearance(
+        &self,
+        request: Fingerprint,
+    ) -> std::result::Result<(), Duration> {
         loop {
             let changed = self.changed.listen();
 
             match self.clearance(request) {
                 Clearance::Allow => return Ok(()),
                 Clearance::Trial => self.counter.add("trial"),
-                Clearance::Refuse(left) => {
+                Clearance::Refuse(remaining) => {
                     self.counter.add("refused");
-                    return Err(left);
+                    return Err(remaining);
                 }
                 Clearance::Wait(wait) => {
-                    // Whichever comes first, it is asked again.
+                    // Checked again after the time or a change, whichever comes first.
                     let _ = timeout(wait, changed).await;
                     continue;
                 }
             }
 
             if self.lock().take_trial(request, self.clock.now()) {
-                self.tell_news();
+                self.notify_updates();
                 return Ok(());
             }
         }
@@ -109,28 +117,29 @@
         self.lock().clearance(request, self.clock.now())
     }
 
-    /// Notes that a target crashed under a request, by the number of the crash in this life of its agent.
-    pub fn note_crash(
+    /// Records a crash of a target under a request, with its number in this incarnation of the
+    /// target's agent.
+    pub fn record_crash(
         self: &Arc<Self>,
         target: &str,
         incarnation: Incarnation,
         crash: u64,
         request: Fingerprint,
     ) {
-        // Numbers of an agent's next life begin anew, behind a greater incarnation.
+        // Crash numbers start anew in the agent's next incarnation, whose number is greater.
         let start = TargetStart::listed(target, Some(incarnation + crash));
         let now = self.clock.now();
-        let decides = self.lock().record_crash(&start, [request], now);
+        let is_decision_pending = self.lock().record_crash(&start, [request], now);
         self.counter.add("crash");
-        self.tell_news();
+        self.notify_updates();
 
-        if decides {
-            self.decide_later();
+        if is_decision_pending {
+            self.schedule_decision();
         }
     }
 
-    /// Notes that a request was answered.
-    pub fn note_answered(&self, request: Fingerprint) {
+    /// Records that a request was answered.
+    pub fn record_answer(&self, request: Fingerprint) {
         if self.lock().is_idle() {
             return;
         }
@@ -141,18 +150,18 @@
             log::info!("quarantine released", kv: { fingerprint, cause = "answered" });
         }
 
-        self.tell_news();
+        self.notify_updates();
     }
 
-    /// Has other entries told, and the table service, where there is something to tell.
-    fn tell_news(&self) {
+    /// Wakes the tasks that inform other entries and the table service, if there are updates.
+    fn notify_updates(&self) {
         if self.lock().has_updates() {
-            self.news.notify(usize::MAX);
+            self.updates.notify(usize::MAX);
         }
     }
 
-    /// Answers another entry.
-    pub fn answer(self: &Arc<Self>, message: SuspectMessage) -> Option<Report> {
+    /// Handles a message of another entry; returns the reply.
+    pub fn handle_message(self: &Arc<Self>, message: SuspectMessage) -> Option<Report> {
         let now = self.clock.now();
 
         match message {
@@ -161,32 +170,32 @@
                 (quarantine.digest() != digest).then(|| quarantine.snapshot(now))
             }
             SuspectMessage::Tell(report) => {
-                self.take(&report);
+                self.apply_report(&report);
                 None
             }
         }
     }
 
-    fn take(self: &Arc<Self>, report: &Report) {
-        let taken = self.lock().apply_report(report, self.clock.now());
+    fn apply_report(self: &Arc<Self>, report: &Report) {
+        let quarantined = self.lock().apply_report(report, self.clock.now());
 
-        for request in taken {
-            self.note_quarantined(request, 0, "entry");
+        for request in quarantined {
+            self.record_quarantined(request, 0, "entry");
         }
 
         self.changed.notify(usize::MAX);
-        self.decide_later();
+        self.schedule_decision();
     }
 
-    /// Decides on requests as soon as that can be done.
-    fn decide_later(self: &Arc<Self>) {
-        let Some(left) = self.lock().next_decision(self.clock.now()) else {
+    /// Schedules the next decision on suspects, if one is pending.
+    fn schedule_decision(self: &Arc<Self>) {
+        let Some(remaining) = self.lock().next_decision(self.clock.now()) else {
             return;
         };
         let suspects = self.clone();
 
         async_std::task::spawn(async move {
-            sleep(left).await;
+            sleep(remaining).await;
             suspects.decide();
         });
     }
@@ -195,20 +204,21 @@
         let decided = self.lock().decide(self.clock.now());
 
         for (request, crashes) in decided {
-            self.note_quarantined(request, crashes, "own");
-            self.tell_news();
+            self.record_quarantined(request, crashes, "own");
+            self.notify_updates();
             self.changed.notify(usize::MAX);
         }
     }
 
-    fn note_quarantined(&self, request: Fingerprint, crashes: usize, from: &'static str) {
+    fn record_quarantined(&self, request: Fingerprint, crashes: usize, from: &'static str) {
         self.counter.add("quarantined");
         let fingerprint = to_hex(request);
         log::warn!("request quarantined", kv: { fingerprint, crashes, from });
     }
 
     fn lock(&self) -> MutexGuard<'_, Quarantine> {
-        // Every holder leaves it whole, so a poisoned lock is still good.
+        // No holder of the lock leaves the quarantine inconsistent when it panics, so a poisoned
+        // lock can be used.
         self.quarantine.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
@@ -217,180 +227,187 @@
     fn dump(&self) -> Value {
         let quarantine = self.lock();
         let (crashes, suspects, _) = quarantine.len();
-        let held: BTreeMap<String, u32> =
+        let quarantined: BTreeMap<String, u32> =
             quarantine.entries().map(|(request, trials)| (to_hex(request), trials)).collect();
 
-        json!({ "crashes": crashes, "suspects": suspects, "quarantine": held })
+        json!({ "crashes": crashes, "suspects": suspects, "quarantine": quarantined })
     }
 }
 
-/// What the loops of this module work with.
+/// Context of the tasks that exchange records with other entries and the table service.
 #[derive(Clone)]
 pub struct Gossip {
-    /// What this entry knows.
+    /// Records of this entry.
     pub suspects: Arc<Suspects>,
-    /// Who it is.
+    /// Settings of this entry.
     pub settings: CommonSettings,
-    /// The instances that the platform lists.
+    /// Instances that the platform lists.
     pub members: Arc<Members>,
-    /// Links to them.
+    /// Connections to them.
     pub directory: Arc<Directory>,
 }
 
 impl Gossip {
-    /// Tells and asks other entries until the task is dropped.
-    pub async fn follow(self) {
-        let mut ask_at = self.suspects.clock.now();
+    /// Sends updates to other entries and requests their state, until the task is dropped.
+    pub async fn exchange(self) {
+        let mut next_snapshot_at = self.suspects.clock.now();
 
         loop {
-            let news = self.suspects.news.listen();
+            let updates = self.suspects.updates.listen();
             let report = self.suspects.lock().take_updates();
 
             if !report.is_empty() {
-                self.tell(&report);
+                self.broadcast(&report);
             }
 
             let now = self.suspects.clock.now();
 
-            // However much there is to tell, what was lost on the way here is asked for.
-            if now >= ask_at {
-                ask_at = now + ASK_PERIOD;
+            // Lost updates are requested at the same interval, however many are sent.
+            if now >= next_snapshot_at {
+                next_snapshot_at = now + SNAPSHOT_INTERVAL;
                 self.suspects.lock().evict_expired(now);
-                self.ask().await;
+                self.request_snapshot().await;
             }
 
-            // Whichever comes first.
-            let _ = timeout(ask_at.saturating_sub(now), news).await;
+            // Until the next request or an update, whichever comes first.
+            let _ = timeout(next_snapshot_at.saturating_sub(now), updates).await;
         }
     }
 
-    fn tell(&self, report: &Report) {
-        for address in self.others() {
+    fn broadcast(&self, report: &Report) {
+        for address in self.other_entries() {
             let gossip = self.clone();
             let message = Control::Suspects(SuspectMessage::Tell(report.clone()));
 
-            // One that does not answer must not hold up the others. What it misses it asks for.
+            // An entry that does not answer must not delay the others; it requests later what it
+            // misses.
             async_std::task::spawn(async move {
                 drop(gossip.directory.control(address, &message).await);
             });
         }
     }
 
-    async fn ask(&self) {
-        let others = self.others();
+    async fn request_snapshot(&self) {
+        let other_entries = self.other_entries();
 
-        if others.is_empty() {
+        if other_entries.is_empty() {
             return;
         }
 
-        let asked = others[ProcessRandom::default().below(others.len())];
+        let other = other_entries[ProcessRandom::default().below(other_entries.len())];
         let digest = self.suspects.lock().digest();
         let message = Control::Suspects(SuspectMessage::Ask { digest });
 
-        // One that is gone tells nothing; another one is asked next.
+        // If the entry is gone, another one is asked next time.
         if let Ok(ControlAnswer::Suspects(Some(report))) =
-            self.directory.control(asked, &message).await
+            self.directory.control(other, &message).await
         {
-            self.suspects.take(&report);
+            self.suspects.apply_report(&report);
         }
     }
 
-    fn others(&self) -> Vec<SocketAddr> {
+    fn other_entries(&self) -> Vec<SocketAddr> {
         let is_other = |i: &&Instance| i.role == Role::Entry && i.name != self.settings.name;
 
         self.members.all().iter().filter(is_other).map(|i| i.peer_address).collect()
     }
 
-    /// Reads what is in quarantine from the table service, and keeps it there, until the task is dropped.
-    pub async fn keep<T: Table>(self, table: T) {
+    /// Restores the quarantine from the table service, then stores its changes there, until the
+    /// task is dropped.
+    pub async fn persist<T: Table>(self, table: T) {
         self.restore(&table).await;
-        let mut open: HashMap<Fingerprint, StoredChange> = HashMap::new();
-        let mut pause = RETRY_PAUSE;
+        let mut pending: HashMap<Fingerprint, StoredChange> = HashMap::new();
+        let mut backoff = MIN_RETRY_BACKOFF;
 
         loop {
-            let news = self.suspects.news.listen();
+            let updates = self.suspects.updates.listen();
 
             for change in self.suspects.lock().take_stored_changes() {
-                open.insert(change.request(), change);
+                pending.insert(change.request(), change);
             }
 
-            if open.is_empty() {
-                news.await;
+            if pending.is_empty() {
+                updates.await;
                 continue;
             }
 
-            match write(&table, &open).await {
+            match write_stored(&table, &pending).await {
                 Ok(()) => {
-                    open.clear();
-                    pause = RETRY_PAUSE;
+                    pending.clear();
+                    backoff = MIN_RETRY_BACKOFF;
                 }
                 Err(error) => {
                     log::warn!("quarantine not stored", kv: { error = error.to_string() });
-                    sleep(pause).await;
-                    pause = (pause * 2).min(MAX_RETRY_PAUSE);
+                    sleep(backoff).await;
+                    backoff = (backoff * 2).min(MAX_RETRY_BACKOFF);
                 }
             }
         }
     }
 
     async fn restore<T: Table>(&self, table: &T) {
-        let (_, kept) = loop {
-            match read(table).await {
-                Ok(kept) => break kept,
+        let (_, stored) = loop {
+            match read_stored(table).await {
+                Ok(stored) => break stored,
                 Err(error) => {
                     log::warn!("quarantine not read", kv: { error = error.to_string() });
-                    sleep(RETRY_PAUSE).await;
+                    sleep(MIN_RETRY_BACKOFF).await;
                 }
             }
         };
 
-        for (fingerprint, kept) in kept {
+        for (fingerprint, stored) in stored {
             let Ok(request) = from_hex(&fingerprint) else {
                 log::warn!("quarantine entry not readable", kv: { key = fingerprint });
                 continue;
             };
             let now = self.suspects.clock.now();
-            self.suspects.lock().restore(request, kept.trials, now);
-            self.suspects.note_quarantined(request, 0, "store");
+            self.suspects.lock().restore(request, stored.trials, now);
+            self.suspects.record_quarantined(request, 0, "store");
         }
     }
 }
 
-type KeptRequests = BTreeMap<String, Buffer>;
+type StoredRequests = BTreeMap<String, StoredRequest>;
 
-async fn read<T: Table>(table: &T) -> Result<(u64, KeptRequests)> {
+async fn read_stored<T: Table>(table: &T) -> Result<(u64, StoredRequests)> {
     let mut values = table.read(&[TABLE_KEY.to_string()]).await?;
     let found = values.remove(TABLE_KEY).unwrap_or_default();
-    let kept = if found.value.is_null() {
-        KeptRequests::default()
+    let stored = if found.value.is_null() {
+        StoredRequests::default()
     } else {
         serde_json::from_value(found.value)
             .map_err(|e| grebedeck_core::Error::Platform(format!("{TABLE_KEY}: {e}")))?
     };
 
-    Ok((found.version, kept))
+    Ok((found.version, stored))
 }
 
-async fn write<T: Table>(table: &T, open: &HashMap<Fingerprint, StoredChange>) -> Result<()> {
-    for _ in 0..MAX_WRITE_TRIES {
-        let (version, mut kept) = read(table).await?;
+async fn write_stored<T: Table>(
+    table: &T,
+    pending: &HashMap<Fingerprint, StoredChange>,
+) -> Result<()> {
+    for _ in 0..MAX_WRITE_ATTEMPTS {
+        let (version, mut stored) = read_stored(table).await?;
         let now = unix_ms();
-        kept.retain(|_, k| now.saturating_sub(k.written_unix_ms) <= RETENTION.as_millis() as u64);
+        stored.retain(|_, request| {
+            now.saturating_sub(request.written_unix_ms) <= RETENTION.as_millis() as u64
+        });
 
-        for change in open.values() {
+        for change in pending.values() {
             match change {
                 StoredChange::Quarantined(request, trials) => {
-                    let value = Buffer { trials: *trials, written_unix_ms: now };
-                    kept.insert(to_hex(*request), value);
+                    let value = StoredRequest { trials: *trials, written_unix_ms: now };
+                    stored.insert(to_hex(*request), value);
                 }
-                StoredChange::Released(request) => drop(kept.remove(&to_hex(*request))),
+                StoredChange::Released(request) => drop(stored.remove(&to_hex(*request))),
             }
         }
 
-        let kept = serde_json::to_value(kept).expect("numbers always serialize");
+        let stored = serde_json::to_value(stored).expect("numbers always serialize");
         let transaction = Transaction {
             conditions: BTreeMap::from([(TABLE_KEY.to_string(), version)]),
-            writes: BTreeMap::from([(TABLE_KEY.to_string(), kept)]),
+            writes: BTreeMap::from([(TABLE_KEY.to_string(), stored)]),
         };
 
         if table.write(&transaction).await? == TransactionEnd::Written {
@@ -398,5 +415,5 @@
         }
     }
 
-    protocol_error("other entries wrote in between each time")
+    protocol_error("other entries changed the value during each write attempt")
 }
--- a/grebedeck/src/peer.rs
+++ b/grebedeck/src/peer.rs
@@ -87,7 +87,7 @@
             Control::Switch { message, map } => self.to_group(|g| g.receive(message, map)),
             Control::Counts(counts) => self.to_group(|g| g.record_counts(counts)),
             Control::Suspects(message) => match &self.suspects {
-                Some(suspects) => ControlAnswer::Suspects(suspects.answer(message)),
+                Some(suspects) => ControlAnswer::Suspects(suspects.handle_message(message)),
                 None => ControlAnswer::NotSupported,
             },
             Control::MapOf(version) => match &self.group {
--- a/grebedeck/tests/body.rs
+++ b/grebedeck/tests/body.rs
@@ -1,13 +1,13 @@
-//! The memory that request bodies may take.
+//! Memory budget for request bodies, and the limit on their size.
 
 use std::sync::Arc;
 use std::time::Duration;
 
-use grebedeck::entry::request::{BodyBudget, BodyLimits, CallerRequest};
+use grebedeck::entry::request::{BodyLimits, BodyMemoryBudget, CallerRequest};
 use grebedeck_core::Reason;
 use http_types::{Body, Method, Request, Url};
 
-const LIMITS: BodyLimits = BodyLimits { max_bytes: 1_000, limit: Duration::from_secs(5) };
+const LIMITS: BodyLimits = BodyLimits { max_bytes: 1_000, timeout: Duration::from_secs(5) };
 
 fn request(body: Body) -> Request {
     let mut request = Request::new(Method::Post, Url::parse("http://10.0.0.1/").unwrap());
@@ -18,22 +18,22 @@
     request
 }
 
-async fn read(body: Body, budget: &Arc<BodyBudget>) -> Result<CallerRequest, Reason> {
+async fn read(body: Body, budget: &Arc<BodyMemoryBudget>) -> Result<CallerRequest, Reason> {
     CallerRequest::try_new(request(body), LIMITS, budget).await
 }
 
 #[test]
-fn bodies_are_held_within_the_budget_and_give_it_back() {
+fn bodies_reserve_memory_within_the_budget_and_return_it() {
     async_std::task::block_on(async {
-        let budget = Arc::new(BodyBudget::new(1_500));
+        let budget = Arc::new(BodyMemoryBudget::new(1_500));
         let first = read(Body::from(vec![1; 900]), &budget).await.unwrap();
         assert_eq!((first.body.len(), budget.used_bytes()), (900, 900));
 
         let second = read(Body::from(vec![1; 900]), &budget).await;
         assert!(matches!(second, Err(Reason::Overloaded(_))), "{second:?}");
-        // A body without a length counts as the longest.
-        let unknown = Body::from_reader(futures::io::Cursor::new(vec![1u8; 10]), None);
-        assert!(matches!(read(unknown, &budget).await, Err(Reason::Overloaded(_))));
+        // A body without a declared length reserves the maximum size.
+        let undeclared = Body::from_reader(futures::io::Cursor::new(vec![1u8; 10]), None);
+        assert!(matches!(read(undeclared, &budget).await, Err(Reason::Overloaded(_))));
 
         drop(first);
         assert_eq!(budget.used_bytes(), 0);
@@ -42,14 +42,14 @@
 }
 
 #[test]
-fn bodies_over_the_limit_are_refused_with_and_without_a_length() {
+fn bodies_larger_than_the_limit_are_refused_with_and_without_a_declared_length() {
     async_std::task::block_on(async {
-        let budget = Arc::new(BodyBudget::new(10_000));
-        let told = read(Body::from(vec![1; 1_001]), &budget).await;
-        let untold = Body::from_reader(futures::io::Cursor::new(vec![1u8; 1_001]), None);
+        let budget = Arc::new(BodyMemoryBudget::new(10_000));
+        let declared = read(Body::from(vec![1; 1_001]), &budget).await;
+        let undeclared = Body::from_reader(futures::io::Cursor::new(vec![1u8; 1_001]), None);
 
-        assert_eq!(told.unwrap_err(), Reason::TooLarge(1_000));
-        assert_eq!(read(untold, &budget).await.unwrap_err(), Reason::TooLarge(1_000));
+        assert_eq!(declared.unwrap_err(), Reason::TooLarge(1_000));
+        assert_eq!(read(undeclared, &budget).await.unwrap_err(), Reason::TooLarge(1_000));
         assert_eq!(budget.used_bytes(), 0);
     });
 }
