--- a/grebedeck/src/rank.rs
+++ b/grebedeck/src/rank.rs
@@ -15,7 +15,7 @@
 pub mod obstacle;
 pub mod options;
 pub mod planning;
-pub mod rested;
+pub mod retry_after;
 pub mod show;
 
 use std::rc::Rc;
@@ -26,7 +26,7 @@
 use grebedeck_kernel::log;
 
 pub use options::RankSettings;
-use rested::RetryAfterEngine;
+use retry_after::RetryAfterEngine;
 
 /// Runs a rank process until it receives a stop signal.
 pub async fn run<S: SiteStore, E: RankEngine>(
