--- a/grebedeck/src/rank.rs
+++ b/grebedeck/src/rank.rs
@@ -10,13 +10,13 @@
 pub mod calls;
 pub mod counters;
 pub mod dependency;
+pub mod diagnostics;
 pub mod driver;
 pub mod message;
 pub mod obstacle;
 pub mod options;
 pub mod planning;
 pub mod retry_after;
-pub mod show;
 
 use std::rc::Rc;
 
--- a/grebedeck/src/rank/driver.rs
+++ b/grebedeck/src/rank/driver.rs
@@ -24,13 +24,13 @@
 use super::calls::CallResult;
 use super::counters::Counters;
 use super::dependency::Dependency;
+use super::diagnostics;
 use super::message::{Body, Datagram, DatagramReader, MAX_DATAGRAM_BYTES, RankLoad};
 use super::obstacle::ObstacleTracker;
 use super::options::{
     BUSY_POLL, FORMING_POLL, IDLE_POLL, RankSettings, STOP_TIMEOUT, STORE_READ_PAUSE,
     WATCH_DURATION, load_period,
 };
-use super::show;
 use crate::process;
 use crate::settings::millis;
 
@@ -120,7 +120,9 @@
         let counters = Counters::new(&metrics);
         let state: Rc<RefCell<Value>> = Rc::default();
         let listener = process::bind(&mut settings.metrics_address).await?;
-        tasks.spawn(show::serve_pages(tasks.clone(), listener, metrics, state.clone())).detach();
+        tasks
+            .spawn(diagnostics::serve_pages(tasks.clone(), listener, metrics, state.clone()))
+            .detach();
         let balance = GroupBalancer::new(settings.balance, &settings.service);
 
         Ok(Driver {
@@ -460,7 +462,7 @@
                     }
 
                     self.counters.record_event(&event);
-                    show::log_event(event);
+                    diagnostics::log_event(event);
                 }
             }
         }
