--- a/grebedeck/src/entry/answer.rs
+++ b/grebedeck/src/entry/answer.rs
@@ -178,7 +178,7 @@
 
     let outcome = loop {
         let part = async { Some(stream.next().await) };
-        // If the caller disconnects between two parts, its permit is returned at once.
+        // If the caller disconnects between two parts, its permit is released at once.
         let disconnected = async {
             sender.closed().await;
             None
--- a/grebedeck/src/entry/attempt.rs
+++ b/grebedeck/src/entry/attempt.rs
@@ -61,7 +61,7 @@
 }
 
 impl StartedAnswer {
-    /// Returns the response; the permit is returned when the answer has ended.
+    /// Returns the response. The permit is released when the answer has ended.
     pub fn into_response(self, permit: AdmissionPermit) -> Response {
         match self {
             StartedAnswer::Complete(head, body) => complete_response(head, body),
--- a/grebedeck/src/entry/request.rs
+++ b/grebedeck/src/entry/request.rs
@@ -24,7 +24,7 @@
 /// Header with the time when the caller issued the key, in Unix milliseconds.
 pub const KEY_ISSUED_HEADER: &str = "idempotency-issued-ms";
 
-/// Delay that a caller is asked for when the memory budget for bodies is exhausted.
+/// `Retry-After` of a refusal because the memory budget for bodies is exhausted.
 const BUDGET_RETRY_AFTER: Duration = Duration::from_secs(1);
 /// Maximum length of a key.
 const MAX_KEY_BYTES: usize = 255;
@@ -45,7 +45,7 @@
     used_bytes: AtomicUsize,
 }
 
-/// Reserved part of the budget, returned when this is dropped.
+/// Reserved part of the budget, released when it is dropped.
 #[derive(Debug)]
 pub struct BodyReservation {
     budget: Arc<BodyMemoryBudget>,
@@ -132,7 +132,7 @@
         let identity = Identity {
             caller: &self.organisation,
             method: &self.method,
-            // A path has the same meaning for all targets of a service.
+            // Paths are interpreted per service, so the service takes the place of the host.
             host: &self.service,
             path: &self.path,
             body: &self.body,
--- a/grebedeck/src/entry/service.rs
+++ b/grebedeck/src/entry/service.rs
@@ -61,7 +61,7 @@
     state: Mutex<EntryState>,
 }
 
-/// Permit of an admitted request; it is returned when this is dropped.
+/// Permit of an admitted request, released when it is dropped.
 pub struct AdmissionPermit {
     entry: Arc<EntryService>,
     organisation: OrganisationName,
--- a/grebedeck/src/entry/suspects.rs
+++ b/grebedeck/src/entry/suspects.rs
@@ -3,8 +3,8 @@
 //! Agents report whether their target crashed under an attempt; [`Quarantine`] decides which
 //! requests are suspects and which are no longer sent. Entries send each other what they observe at
 //! once, and request each other's state from time to time, so that an entry that starts later or
-//! was cut off catches up. The requests in quarantine are also stored in the table service, in case
-//! no entry keeps running.
+//! was cut off catches up. The requests in quarantine are also stored in the table service, so that
+//! they outlive all entries.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
--- a/grebedeck/src/rank/driver.rs
+++ b/grebedeck/src/rank/driver.rs
@@ -311,7 +311,7 @@
             Body::Watch => {
                 self.watchers.insert(datagram.from, self.clock.now());
             }
-            // Addressed to gateways.
+            // Addressed to gateways, or handled above as a datagram of another group.
             Body::Load(_) | Body::Suspects(_) | Body::Elsewhere | Body::Quota(_) => {}
             Body::Counts(report) => {
                 let is_same_formation = self.node.report().is_some_and(|r| r.epoch == report.epoch);
--- a/grebedeck/tests/body.rs
+++ b/grebedeck/tests/body.rs
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn bodies_reserve_memory_within_the_budget_and_return_it() {
+fn bodies_reserve_memory_within_the_budget_and_release_it() {
     async_std::task::block_on(async {
         let budget = Arc::new(BodyMemoryBudget::new(1_500));
         let first = read(Body::from(vec![1; 900]), &budget).await.unwrap();
