--- a/grebedeck/src/rank/driver.rs
+++ b/grebedeck/src/rank/driver.rs
@@ -64,8 +64,8 @@
     fn default() -> Self {
         Dependencies {
             engine: Dependency::new("engine"),
-            counts: Dependency::new("expert counts"),
-            targets: Dependency::new("target list"),
+            counts: Dependency::new("counts of chosen experts"),
+            targets: Dependency::new("list of targets"),
             site: Dependency::new("configuration"),
         }
     }
