--- a/grebedeck/src/agent/driver.rs
+++ b/grebedeck/src/agent/driver.rs
@@ -358,8 +358,8 @@
         self.order(version, EngineAction::Load { version: version_text(version), map }).await
     }
 
-    /// Repeats an order until the engine has carried it out. A committed decision must be applied;
-    /// until then the engine can only go on holding its step.
+    /// Repeats an order until the engine has carried it out. The outcome of a switch, commit or
+    /// abort, must be applied; until then the engine can only go on holding its step.
     async fn order_until_done(&mut self, version: MapVersion, action: EngineAction) {
         while !self.order(version, action.clone()).await {
             async_std::task::sleep(ORDER_RETRY_DELAY).await;
--- a/grebedeck/src/rank/obstacle.rs
+++ b/grebedeck/src/rank/obstacle.rs
@@ -60,8 +60,8 @@
 }
 
 impl ObstacleTracker {
-    /// Records the current obstacle, if any; returns the change to report. Each reason is reported
-    /// once until plans are possible again.
+    /// Records the current obstacle, if any; returns the change to report. A reason is reported if
+    /// it differs from the one reported last.
     pub fn record(&mut self, obstacle: Option<Obstacle>, now: Moment) -> Option<ObstacleChange> {
         let Some(obstacle) = obstacle else {
             let since = self.since.take();
--- a/grebedeck/src/rank/retry_after.rs
+++ b/grebedeck/src/rank/retry_after.rs
@@ -17,7 +17,7 @@
 use grebedeck_kernel::{Clock, log};
 
 /// Number of remembered delays from which on expired ones are removed: more than a group has ranks.
-const MAX_DELAYS: usize = 1024;
+const EVICTION_THRESHOLD: usize = 1024;
 
 /// Maximum rate of log lines: an engine that requests very short delays may do so fifty times a
 /// second.
@@ -62,7 +62,7 @@
         let now = self.clock.now();
         let mut delays = self.delays.borrow_mut();
 
-        if delays.len() >= MAX_DELAYS {
+        if delays.len() >= EVICTION_THRESHOLD {
             delays.retain(|_, delay| delay.is_active(now));
         }
 
