--- a/grebedeck-lab/src/balance/sim.rs
+++ b/grebedeck-lab/src/balance/sim.rs
@@ -253,7 +253,7 @@
         let scale = self.setup.layer_work_ms() / self.setup.tokens_per_step;
         let took_ms = self.setup.base_ms + worst * scale;
         let mean_ms = self.setup.base_ms + mean * scale;
-        let swung = self.trace.last_swing();
+        let swung = self.trace.last_launch();
         let calm = swung == 0 || step > swung + (2_000.0 / took_ms) as Step;
 
         self.skew_cost_ms += took_ms - mean_ms;
--- a/grebedeck-lab/src/balance/trace.rs
+++ b/grebedeck-lab/src/balance/trace.rs
@@ -89,7 +89,7 @@
     topics: Vec<Vec<usize>>,
     launched: Vec<Vec<f64>>,
     next_launch: Step,
-    last_swing: Step,
+    last_launch: Step,
 }
 
 impl Trace {
@@ -107,12 +107,12 @@
         let launched = vec![vec![0.0; options.experts]; options.layers];
         let next_launch = options.period_steps / 2;
 
-        Trace { kind, options, random, base, other, topics, launched, next_launch, last_swing: 0 }
+        Trace { kind, options, random, base, other, topics, launched, next_launch, last_launch: 0 }
     }
 
     /// Gets the step of the last sharp swing; 0 where there was none.
-    pub fn last_swing(&self) -> Step {
-        self.last_swing
+    pub fn last_launch(&self) -> Step {
+        self.last_launch
     }
 
     /// Moves on to a step that is a multiple of [`TICK_STEPS`]; gives each layer's fractions.
@@ -178,7 +178,7 @@
             return;
         }
 
-        self.last_swing = step;
+        self.last_launch = step;
         let wait = (self.options.period_steps as f64 * (0.5 + self.random.unit())) as Step;
         self.next_launch = step + wait.max(TICK_STEPS);
 
--- a/grebedeck-lab/src/command/fleet.rs
+++ b/grebedeck-lab/src/command/fleet.rs
@@ -18,7 +18,7 @@
 use serde_json::{Value, json};
 
 use crate::caller::Caller;
-use crate::plain::Plain;
+use crate::plain::PlainService;
 use crate::platform::Platform;
 
 /// Where a fleet's settings are and how large it is.
@@ -109,7 +109,7 @@
     async_std::task::block_on(async {
         let platform = Platform::default();
         let _server = platform.serve(options.address(PLATFORM_OFFSET)).await?;
-        let _target = Plain::serve_at("target", options.address(TARGET_OFFSET)).await?;
+        let _target = PlainService::serve_at("target", options.address(TARGET_OFFSET)).await?;
         let (entries, agents) = read_settings(&options.dir)?;
         let listed = entries
             .iter()
--- a/grebedeck-lab/src/command/losses.rs
+++ b/grebedeck-lab/src/command/losses.rs
@@ -5,7 +5,7 @@
 use anyhow::{Context, Result};
 use bpaf::Bpaf;
 
-use crate::losses::{Limits, Table, losses};
+use crate::losses::{Limits, LossSummary, find_losses};
 
 /// Which logs to read.
 #[derive(Clone, Debug, Bpaf)]
@@ -28,8 +28,8 @@
     let read =
         |path: &PathBuf| std::fs::read_to_string(path).with_context(|| path.display().to_string());
     let texts: Vec<String> = options.logs.iter().map(read).collect::<Result<_>>()?;
-    let found = losses(&texts, Limits { pause_ms: options.pause_ms });
-    let table = Table::new(&found, options.span_ms);
+    let found = find_losses(&texts, Limits { pause_ms: options.pause_ms });
+    let table = LossSummary::new(&found, options.span_ms);
 
     if options.json {
         println!("{}", serde_json::to_string(&table)?);
--- a/grebedeck-lab/src/command/routing.rs
+++ b/grebedeck-lab/src/command/routing.rs
@@ -7,7 +7,7 @@
 use grebedeck_routing::ChooserOptions;
 use serde_json::json;
 
-use crate::routing::{Choice, Setup, Waits, run as run_sim};
+use crate::routing::{RunReport, SelectionPolicy, Setup, run as run_sim};
 
 /// What to run.
 #[derive(Clone, Debug, Bpaf)]
@@ -63,22 +63,22 @@
     let setup = Setup {
         entries: options.entries,
         targets: options.targets,
-        places: options.places,
+        slots: options.places,
         load: options.load,
         organisations: options.organisations,
-        loud: options.loud,
+        noisy_share: options.loud,
         report_lag: Duration::from_millis(options.report_lag_ms),
-        service: Duration::from_millis(options.service_ms),
-        tail: options.tail,
-        time: Duration::from_secs(options.time_s),
-        options: ChooserOptions { draws: options.draws, ..ChooserOptions::default() },
+        mean_service_time: Duration::from_millis(options.service_ms),
+        service_time_sigma: options.tail,
+        duration: Duration::from_secs(options.time_s),
+        chooser: ChooserOptions { draws: options.draws, ..ChooserOptions::default() },
     };
 
     if !options.json {
         println!("policy           p50 ms  p95 ms  p99 ms (low to high)   mean ms  attempts");
     }
 
-    for choice in Choice::ALL {
+    for choice in SelectionPolicy::ALL {
         let seeds = options.seed..options.seed + options.seeds;
         let workers: Vec<_> = seeds
             .map(|seed| {
@@ -86,7 +86,7 @@
                 std::thread::spawn(move || run_sim(choice, &setup, seed))
             })
             .collect();
-        let waits: Vec<Waits> =
+        let waits: Vec<RunReport> =
             workers.into_iter().map(|w| w.join().expect("a run does not panic")).collect();
         print(choice, &waits, options);
     }
@@ -94,8 +94,8 @@
     Ok(())
 }
 
-fn print(choice: Choice, waits: &[Waits], options: &RoutingOptions) {
-    let mean = |read: fn(&Waits) -> f64| {
+fn print(choice: SelectionPolicy, waits: &[RunReport], options: &RoutingOptions) {
+    let mean = |read: fn(&RunReport) -> f64| {
         waits.iter().map(read).sum::<f64>() / waits.len() as f64 + options.prefill_ms
     };
     let low = waits.iter().map(|w| w.p99).fold(f64::INFINITY, f64::min) + options.prefill_ms;
--- a/grebedeck-lab/src/command/switch.rs
+++ b/grebedeck-lab/src/command/switch.rs
@@ -8,7 +8,7 @@
 use grebedeck_core::random::SeededSource;
 use serde_json::json;
 
-use crate::switch_model::{Bounds, Broken, ramble};
+use crate::switch_model::{Bounds, ProtocolFault, random_run};
 
 /// What to run.
 #[derive(Clone, Debug, Bpaf)]
@@ -43,14 +43,14 @@
         replacements: options.replacements,
         proposals: 12,
         start_arming: false,
-        broken: broken(&options.broken)?,
+        fault: broken(&options.broken)?,
     };
     let start = Instant::now();
     let (mut commits, mut violations, mut first) = (0, 0, None);
 
     for seed in options.seed..options.seed + options.runs {
         let mut random = SeededSource::new(seed);
-        let run = || ramble(bounds, options.actions, &mut random);
+        let run = || random_run(bounds, options.actions, &mut random);
 
         match catch_unwind(AssertUnwindSafe(run)) {
             Ok(Ok(seen)) => commits += seen.commits,
@@ -72,19 +72,19 @@
     });
     println!("{report}");
 
-    if bounds.broken == Broken::Sound && violations > 0 {
+    if bounds.fault == ProtocolFault::None && violations > 0 {
         bail!("the switch protocol mixed maps in {violations} runs");
     }
 
     Ok(())
 }
 
-fn broken(text: &str) -> Result<Broken> {
+fn broken(text: &str) -> Result<ProtocolFault> {
     match text {
-        "none" => Ok(Broken::Sound),
-        "commit" => Ok(Broken::CommitWithoutAll),
-        "join" => Ok(Broken::NoJoin),
-        "hold" => Ok(Broken::NoHold),
+        "none" => Ok(ProtocolFault::None),
+        "commit" => Ok(ProtocolFault::CommitWithoutAll),
+        "join" => Ok(ProtocolFault::NoJoin),
+        "hold" => Ok(ProtocolFault::NoHold),
         other => bail!("break: `{other}`: one of none, commit, join, hold"),
     }
 }
--- a/grebedeck-lab/src/losses.rs
+++ b/grebedeck-lab/src/losses.rs
@@ -184,7 +184,7 @@
 }
 
 /// Finds the losses that logs tell of.
-pub fn losses(texts: &[String], limits: Limits) -> Vec<Loss> {
+pub fn find_losses(texts: &[String], limits: Limits) -> Vec<Loss> {
     let mut lines: Vec<Line> =
         texts.iter().flat_map(|t| t.lines()).filter_map(Line::parse).collect();
     // Sorting keeps the order of one process's lines.
@@ -242,7 +242,7 @@
 
 /// Losses by cause and by span of time.
 #[derive(Clone, Debug, Serialize)]
-pub struct Table {
+pub struct LossSummary {
     /// First moment of the logs' losses.
     pub from_ms: StampMs,
     /// Length of a span.
@@ -255,11 +255,11 @@
     pub by_span: BTreeMap<StampMs, BTreeMap<Cause, usize>>,
 }
 
-impl Table {
+impl LossSummary {
     /// Counts losses in spans of `span_ms`.
     pub fn new(losses: &[Loss], span_ms: StampMs) -> Self {
         let from_ms = losses.iter().map(|l| l.at_ms).min().unwrap_or(0);
-        let mut table = Table {
+        let mut table = LossSummary {
             from_ms,
             span_ms: span_ms.max(1),
             by_cause: BTreeMap::new(),
--- a/grebedeck-lab/src/model.rs
+++ b/grebedeck-lab/src/model.rs
@@ -91,7 +91,7 @@
 
 /// What a group measured since it was last asked.
 #[derive(Clone, Copy, Debug)]
-pub struct GroupMeasure {
+pub struct GroupStats {
     /// Steps made since the start.
     pub steps: Step,
     /// Times that the group waited for a held rank, in units of a millisecond.
@@ -147,18 +147,18 @@
     }
 
     /// Makes one rank slower by a factor.
-    pub fn slow_down(&self, rank: Rank, factor: f32) {
+    pub fn set_slowdown(&self, rank: Rank, factor: f32) {
         self.lock().ranks[usize::from(rank)].slowed = factor;
     }
 
     /// Gets what was measured since the last call.
-    pub fn measure(&self) -> GroupMeasure {
+    pub fn take_stats(&self) -> GroupStats {
         let mut state = self.lock();
         let skew = state.skew_sum / state.skew_steps.max(1) as f64;
         state.skew_sum = 0.0;
         state.skew_steps = 0;
 
-        GroupMeasure { steps: state.next_step, held_ms: state.held_steps, skew }
+        GroupStats { steps: state.next_step, held_ms: state.held_steps, skew }
     }
 
     async fn run(self, mut random: SeededSource) {
--- a/grebedeck-lab/src/plain.rs
+++ b/grebedeck-lab/src/plain.rs
@@ -18,20 +18,23 @@
 
 /// State of the stand-in.
 #[derive(Clone, Default)]
-pub struct Plain {
+pub struct PlainService {
     name: String,
     runs: Arc<Mutex<HashMap<String, u32>>>,
 }
 
-impl Plain {
+impl PlainService {
     /// Starts the stand-in's server on any free port.
-    pub async fn serve(name: &str) -> std::io::Result<(Plain, Server)> {
+    pub async fn serve(name: &str) -> std::io::Result<(PlainService, Server)> {
         Self::serve_at(name, any_port()).await
     }
 
     /// Starts the stand-in's server on the given address.
-    pub async fn serve_at(name: &str, address: SocketAddr) -> std::io::Result<(Plain, Server)> {
-        let plain = Plain { name: name.to_string(), runs: Arc::default() };
+    pub async fn serve_at(
+        name: &str,
+        address: SocketAddr,
+    ) -> std::io::Result<(PlainService, Server)> {
+        let plain = PlainService { name: name.to_string(), runs: Arc::default() };
         let state = plain.clone();
         let server = Server::start(address, move |request| {
             let state = state.clone();
--- a/grebedeck-lab/src/platform.rs
+++ b/grebedeck-lab/src/platform.rs
@@ -19,7 +19,7 @@
     /// Nothing is answered.
     pub down: bool,
     /// Each call takes this much longer.
-    pub slow: Duration,
+    pub delay: Duration,
     /// The answers to this many writes are lost after the write took effect.
     pub lose_answers: u32,
 }
@@ -75,7 +75,7 @@
         }
 
         let faults = *lock(&self.faults);
-        async_std::task::sleep(faults.slow).await;
+        async_std::task::sleep(faults.delay).await;
 
         if faults.down {
             return Response::new(503);
--- a/grebedeck-lab/src/routing.rs
+++ b/grebedeck-lab/src/routing.rs
@@ -19,7 +19,7 @@
 
 /// How a target is chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Choice {
+pub enum SelectionPolicy {
     /// Any.
     Random,
     /// One after another, each entry for itself.
@@ -34,26 +34,26 @@
     Omniscient,
 }
 
-impl Choice {
+impl SelectionPolicy {
     /// All policies, in the order of reports.
-    pub const ALL: [Choice; 6] = [
-        Choice::Random,
-        Choice::RoundRobin,
-        Choice::LeastReported,
-        Choice::TwoChoices,
-        Choice::Ours,
-        Choice::Omniscient,
+    pub const ALL: [SelectionPolicy; 6] = [
+        SelectionPolicy::Random,
+        SelectionPolicy::RoundRobin,
+        SelectionPolicy::LeastReported,
+        SelectionPolicy::TwoChoices,
+        SelectionPolicy::Ours,
+        SelectionPolicy::Omniscient,
     ];
 
     /// Gets the policy's name.
     pub fn name(self) -> &'static str {
         match self {
-            Choice::Random => "random",
-            Choice::RoundRobin => "round-robin",
-            Choice::LeastReported => "least-reported",
-            Choice::TwoChoices => "two-choices",
-            Choice::Ours => "ours",
-            Choice::Omniscient => "omniscient",
+            SelectionPolicy::Random => "random",
+            SelectionPolicy::RoundRobin => "round-robin",
+            SelectionPolicy::LeastReported => "least-reported",
+            SelectionPolicy::TwoChoices => "two-choices",
+            SelectionPolicy::Ours => "ours",
+            SelectionPolicy::Omniscient => "omniscient",
         }
     }
 }
@@ -66,28 +66,28 @@
     /// Targets.
     pub targets: usize,
     /// Places of each target.
-    pub places: usize,
+    pub slots: usize,
     /// Offered load, as a part of all places.
     pub load: f64,
     /// Organisations; the first is the loud one.
     pub organisations: usize,
     /// Part of the requests that the loud organisation sends.
-    pub loud: f64,
+    pub noisy_share: f64,
     /// Age of reports when they arrive, and time between two of them.
     pub report_lag: Duration,
     /// Mean time of a request in its place.
-    pub service: Duration,
+    pub mean_service_time: Duration,
     /// Spread of that time: the deviation of its logarithm.
-    pub tail: f64,
+    pub service_time_sigma: f64,
     /// Time of a run.
-    pub time: Duration,
+    pub duration: Duration,
     /// Settings of the product's choice.
-    pub options: ChooserOptions,
+    pub chooser: ChooserOptions,
 }
 
-/// Waits for a place, in milliseconds.
+/// Results of a run; waits for a slot are in milliseconds.
 #[derive(Clone, Copy, Debug)]
-pub struct Waits {
+pub struct RunReport {
     /// Median.
     pub p50: f64,
     /// 95th percentile.
@@ -145,7 +145,7 @@
 
 struct Sim<'a> {
     setup: &'a Setup,
-    choice: Choice,
+    choice: SelectionPolicy,
     routes: Vec<Arc<Route>>,
     targets: Vec<Target>,
     choosers: Vec<Chooser>,
@@ -166,7 +166,7 @@
 }
 
 /// Runs a policy; the same seed gives the same arrivals.
-pub fn run(choice: Choice, setup: &Setup, seed: u64) -> Waits {
+pub fn run(choice: SelectionPolicy, setup: &Setup, seed: u64) -> RunReport {
     let route = |n: usize| Route {
         name: format!("target-{n:03}"),
         hall: "hall".to_string(),
@@ -175,7 +175,7 @@
         ranks: Vec::new(),
         checks_orders: false,
     };
-    let chooser = || Chooser::new("hall", setup.options.clone());
+    let chooser = || Chooser::new("hall", setup.chooser.clone());
     let mut random = SeededSource::new(seed);
     let turns = (0..setup.entries).map(|_| random.below(setup.targets)).collect();
     let mut sim = Sim {
@@ -205,7 +205,7 @@
 
 impl Sim<'_> {
     fn run(&mut self) {
-        let until = self.setup.time.as_micros() as Us;
+        let until = self.setup.duration.as_micros() as Us;
 
         while let Some(Reverse((now, event))) = self.events.pop() {
             if now > until {
@@ -222,7 +222,7 @@
 
     fn arrive(&mut self, now: Us) {
         let entry = self.random.below(self.setup.entries);
-        let is_loud = self.random.unit() < self.setup.loud;
+        let is_loud = self.random.unit() < self.setup.noisy_share;
         let others = self.setup.organisations.saturating_sub(1);
         let organisation = if is_loud || others == 0 { 0 } else { 1 + self.random.below(others) };
         let request = Request { entry, organisation, arrived: now };
@@ -232,22 +232,22 @@
             self.small_refused += u64::from(organisation > 0);
         }
 
-        let places = (self.setup.targets * self.setup.places) as f64;
-        let rate = places * self.setup.load / self.setup.service.as_secs_f64();
+        let places = (self.setup.targets * self.setup.slots) as f64;
+        let rate = places * self.setup.load / self.setup.mean_service_time.as_secs_f64();
         let gap_s = -(1.0 - self.random.unit()).ln() / rate;
         self.events.push(Reverse((now + (gap_s * 1e6) as Us, Event::Arrival)));
     }
 
     /// Gives a request to a target; tells whether there was room for it.
     fn admit(&mut self, request: Request, now: Us) -> bool {
-        let (entry, ours) = (request.entry, self.choice == Choice::Ours);
+        let (entry, ours) = (request.entry, self.choice == SelectionPolicy::Ours);
 
         if ours && !self.enter(request, now) {
             return false;
         }
 
         let at = if ours { self.dispatch(entry, now) } else { self.choose(entry, &[], now) };
-        let room = self.setup.places * (1 + QUEUE_OF_PLACES);
+        let room = self.setup.slots * (1 + QUEUE_OF_PLACES);
 
         if self.targets[at].load() >= room {
             self.admissions[entry].leave(&organisation_name(request.organisation));
@@ -259,7 +259,7 @@
 
         self.choosers[entry].record_sent(&self.routes[at].name);
 
-        if self.targets[at].busy < self.setup.places {
+        if self.targets[at].busy < self.setup.slots {
             self.begin(at, request, now);
         } else {
             self.targets[at].waiting.push_back(request);
@@ -291,14 +291,14 @@
             let may_wait = tried.len() >= MAX_ATTEMPTS as usize
                 || !chooser.expects_free_slot(&self.routes, &tried, at_time);
 
-            if may_wait || self.targets[at].busy < self.setup.places {
+            if may_wait || self.targets[at].busy < self.setup.slots {
                 return at;
             }
 
             let report = LoadReport {
                 in_flight: self.targets[at].load() as u32,
                 waiting: 0,
-                slots: self.setup.places as u32,
+                slots: self.setup.slots as u32,
             };
             chooser.record_report(&self.routes[at].name, report, at_time);
         }
@@ -308,7 +308,7 @@
         self.targets[at].busy += 1;
 
         // The first tenth fills the targets and is not counted.
-        if request.arrived > self.setup.time.as_micros() as Us / 10 {
+        if request.arrived > self.setup.duration.as_micros() as Us / 10 {
             let wait_ms = (now - request.arrived) as f64 / 1e3;
             self.waits_ms.push(wait_ms);
 
@@ -317,10 +317,10 @@
             }
         }
 
-        let tail = self.setup.tail;
+        let tail = self.setup.service_time_sigma;
         let factor = (tail * normal(&mut self.random) - tail * tail / 2.0).exp();
-        let took = (self.setup.service.as_secs_f64() * factor * 1e6) as Us;
-        let until = self.setup.time.as_micros() as Us;
+        let took = (self.setup.mean_service_time.as_secs_f64() * factor * 1e6) as Us;
+        let until = self.setup.duration.as_micros() as Us;
         self.work_us += (now + took).min(until).saturating_sub(now) as f64;
         self.events.push(Reverse((now + took.max(1), Event::End { target: at, request })));
     }
@@ -342,7 +342,7 @@
     }
 
     fn load_report(&self, load: usize) -> LoadReport {
-        LoadReport { in_flight: load as u32, waiting: 0, slots: self.setup.places as u32 }
+        LoadReport { in_flight: load as u32, waiting: 0, slots: self.setup.slots as u32 }
     }
 
     /// Sends everybody's loads to all entries; they arrive one lag later. `ours` has no use for
@@ -364,18 +364,22 @@
         let count = self.setup.targets;
 
         match self.choice {
-            Choice::Random => self.random.below(count),
-            Choice::RoundRobin => {
+            SelectionPolicy::Random => self.random.below(count),
+            SelectionPolicy::RoundRobin => {
                 self.turns[entry] = (self.turns[entry] + 1) % count;
                 self.turns[entry]
             }
-            Choice::LeastReported => self.least((0..count).collect(), |s, t| s.reported[t]),
-            Choice::TwoChoices => {
+            SelectionPolicy::LeastReported => {
+                self.least((0..count).collect(), |s, t| s.reported[t])
+            }
+            SelectionPolicy::TwoChoices => {
                 let two = vec![self.random.below(count), self.random.below(count)];
                 self.least(two, |s, t| s.reported[t])
             }
-            Choice::Omniscient => self.least((0..count).collect(), |s, t| s.targets[t].load()),
-            Choice::Ours => {
+            SelectionPolicy::Omniscient => {
+                self.least((0..count).collect(), |s, t| s.targets[t].load())
+            }
+            SelectionPolicy::Ours => {
                 let now = Duration::from_micros(now);
                 let chosen =
                     self.choosers[entry].choose(&self.routes, tried, now, &mut self.random);
@@ -393,18 +397,18 @@
         lowest[self.random.below(lowest.len())]
     }
 
-    fn waits(mut self) -> Waits {
+    fn waits(mut self) -> RunReport {
         self.waits_ms.sort_by(f64::total_cmp);
         self.small_waits_ms.sort_by(f64::total_cmp);
         let small_at = (self.small_waits_ms.len() as f64 * 0.99) as usize;
         let capacity_us =
-            (self.setup.targets * self.setup.places) as f64 * self.setup.time.as_micros() as f64;
+            (self.setup.targets * self.setup.slots) as f64 * self.setup.duration.as_micros() as f64;
         let count = self.waits_ms.len().max(1);
         let at = |q: f64| {
             self.waits_ms.get(((count as f64 * q) as usize).min(count - 1)).copied().unwrap_or(0.0)
         };
 
-        Waits {
+        RunReport {
             p50: at(0.5),
             p95: at(0.95),
             p99: at(0.99),
--- a/grebedeck-lab/src/site.rs
+++ b/grebedeck-lab/src/site.rs
@@ -14,7 +14,7 @@
 
 use crate::http::{Server, any_port};
 use crate::model::{Model, ModelOptions};
-use crate::plain::Plain;
+use crate::plain::PlainService;
 use crate::platform::Platform;
 
 /// What a site consists of.
@@ -64,7 +64,7 @@
     /// Its groups' stand-ins.
     pub models: Vec<Model>,
     /// Its plain targets' stand-ins, by target.
-    pub plain: BTreeMap<String, Plain>,
+    pub plain_services: BTreeMap<String, PlainService>,
     /// The stand-ins' servers by target, and the platform's under `platform`.
     pub servers: BTreeMap<String, Server>,
     platform_address: SocketAddr,
@@ -86,7 +86,7 @@
             entries: Vec::new(),
             agents: BTreeMap::new(),
             models: Vec::new(),
-            plain: BTreeMap::new(),
+            plain_services: BTreeMap::new(),
             servers: BTreeMap::from([("platform".to_string(), server)]),
             platform_address,
         };
@@ -104,7 +104,7 @@
             site.start_entry(number, options).await?;
         }
 
-        site.list_instances();
+        site.publish_instances();
         add_organisations(&mut change);
         site.apply(&change).await?;
         site.wait_in_force(1).await?;
@@ -139,12 +139,12 @@
 
     async fn start_plain(&mut self, number: usize, change: &mut Change) -> Result<()> {
         let name = format!("roster-{number}");
-        let (plain, server) = Plain::serve(&name).await?;
+        let (plain, server) = PlainService::serve(&name).await?;
         let hall = HALLS[number % HALLS.len()];
         let mut target = self.start_agent(&name, hall, server.address, false).await?;
         target.labels.insert("service".to_string(), "roster".to_string());
         change.targets.insert(name.clone(), Some(target));
-        self.plain.insert(name.clone(), plain);
+        self.plain_services.insert(name.clone(), plain);
         self.servers.insert(name, server);
 
         Ok(())
@@ -208,7 +208,7 @@
     }
 
     /// Lists all running processes with the platform.
-    pub fn list_instances(&self) {
+    pub fn publish_instances(&self) {
         let entries = self.entries.iter().map(|e| e.settings.common.instance(Role::Entry, 1));
         let agents =
             self.agents.values().map(|a| a.settings.common.instance(Role::Agent, a.incarnation));
--- a/grebedeck-lab/src/switch_model.rs
+++ b/grebedeck-lab/src/switch_model.rs
@@ -1,8 +1,8 @@
 //! A model of one group's switches: members, coordinators, engines and an unreliable network.
 //!
 //! Messages are kept for ever once sent, so any of them can be delivered late, twice or never.
-//! Members can be replaced while their old selves live on unaware. [`walk`] visits every state up
-//! to a depth; [`ramble`] takes long random runs. Both check that no two current members begin the
+//! Members can be replaced while their old selves live on unaware. [`explore`] visits every state up
+//! to a depth; [`random_run`] takes long random runs. Both check that no two current members begin the
 //! same step on different maps.
 
 use std::collections::{HashMap, HashSet};
@@ -17,9 +17,9 @@
 
 /// A way in which the protocol is broken on purpose, to show that the checks notice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Broken {
+pub enum ProtocolFault {
     /// Not at all.
-    Sound,
+    None,
     /// The coordinator commits although one member has not armed.
     CommitWithoutAll,
     /// A replaced member does not ask the others before it takes part.
@@ -42,7 +42,7 @@
     /// Whether to start with a proposal that is about to be armed.
     pub start_arming: bool,
     /// What is broken.
-    pub broken: Broken,
+    pub fault: ProtocolFault,
 }
 
 impl Default for Bounds {
@@ -53,7 +53,7 @@
             replacements: 1,
             proposals: 2,
             start_arming: true,
-            broken: Broken::Sound,
+            fault: ProtocolFault::None,
         }
     }
 }
@@ -69,7 +69,7 @@
 
 /// What a walk or a random run has seen.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Seen {
+pub struct RunSummary {
     /// Distinct states, or random actions.
     pub states: usize,
     /// Times that a member began to use a new map.
@@ -289,7 +289,7 @@
 
         if let Some(coordinator) = &mut process.coordinator {
             let orders = coordinator.receive(message, Moment::ZERO);
-            let early = self.bounds.broken == Broken::CommitWithoutAll;
+            let early = self.bounds.fault == ProtocolFault::CommitWithoutAll;
             self.carry_out_coordination(state, orders);
 
             if early && matches!(message.body, Body::Report { .. }) {
@@ -317,7 +317,7 @@
 
     fn begin(&mut self, state: &mut State, at: usize) -> Result<(), Violation> {
         let step = state.step;
-        let no_hold = self.bounds.broken == Broken::NoHold;
+        let no_hold = self.bounds.fault == ProtocolFault::NoHold;
         let engine = &mut state.current[at].engine;
         let held = !no_hold && engine.hold_at.is_some_and(|h| step >= h);
         let done = engine.begun.is_some_and(|(s, _)| s == step) || step >= self.bounds.steps;
@@ -379,7 +379,7 @@
         let incarnation = state.current[at].incarnation + 1;
         let no = at as MemberNo;
         let options = member_options();
-        let no_join = self.bounds.broken == Broken::NoJoin;
+        let no_join = self.bounds.fault == ProtocolFault::NoJoin;
         let first = MapVersion::default();
         let member = if no_join {
             let mut roster = vec![1; size];
@@ -474,7 +474,7 @@
 }
 
 /// Visits every state that at most `depth` actions lead to.
-pub fn walk(bounds: Bounds, depth: usize) -> Result<Seen, Violation> {
+pub fn explore(bounds: Bounds, depth: usize) -> Result<RunSummary, Violation> {
     let mut model = Model::new(bounds);
     let start = model.start();
     let mut seen = HashSet::from([fingerprint(&start)]);
@@ -497,7 +497,7 @@
     }
 
     let complete = frontier.is_empty();
-    Ok(Seen { states: seen.len(), commits: model.commits, complete })
+    Ok(RunSummary { states: seen.len(), commits: model.commits, complete })
 }
 
 /// A digest that stands for a state, so that millions of them fit in memory.
@@ -514,11 +514,11 @@
 }
 
 /// Takes one random run of `actions` actions.
-pub fn ramble(
+pub fn random_run(
     bounds: Bounds,
     actions: usize,
     random: &mut impl RandomSource,
-) -> Result<Seen, Violation> {
+) -> Result<RunSummary, Violation> {
     let mut model = Model::new(bounds);
     let mut state = model.start();
 
@@ -528,7 +528,7 @@
         state = model.act(&state, action)?;
     }
 
-    Ok(Seen { states: actions, commits: model.commits, complete: false })
+    Ok(RunSummary { states: actions, commits: model.commits, complete: false })
 }
 
 /// Draws an action. Faults are rare and new messages likely, or else nothing would ever commit.
--- a/grebedeck-lab/tests/config.rs
+++ b/grebedeck-lab/tests/config.rs
@@ -120,7 +120,7 @@
     async_std::task::block_on(async {
         let site = site().await;
         let slow = Duration::from_secs(30);
-        site.platform.set_faults(TableFaults { slow, ..TableFaults::default() });
+        site.platform.set_faults(TableFaults { delay: slow, ..TableFaults::default() });
         let caller = Caller::new(site.entry_addresses()[0], "northwind", "roster");
 
         // Far more calls than could wait for the store one after another.
--- a/grebedeck-lab/tests/crashes.rs
+++ b/grebedeck-lab/tests/crashes.rs
@@ -161,7 +161,7 @@
         change.targets.insert(name, Some(target));
     }
 
-    site.list_instances();
+    site.publish_instances();
     let revision = site.apply(&change).await.expect("in force");
     site.wait_in_force(revision).await.expect("in force");
     // Entries read the list of instances each few seconds, and know each other by it.
@@ -236,7 +236,7 @@
         let before = deadly.lock().expect("whole").runs.len();
         assert!(before >= CRASHES);
         site.start_entry(2, &SiteOptions::default()).await.expect("an entry");
-        site.list_instances();
+        site.publish_instances();
         site.wait_in_force(2).await.expect("in force");
         async_std::task::sleep(Duration::from_secs(4)).await;
 
--- a/grebedeck-lab/tests/group.rs
+++ b/grebedeck-lab/tests/group.rs
@@ -79,7 +79,7 @@
             ranks: vec![2],
             ..target
         };
-        site.list_instances();
+        site.publish_instances();
         let mut change = Change { id: "replace".to_string(), ..Change::default() };
         change.targets.insert(name.to_string(), Some(target));
         site.apply(&change).await.unwrap();
@@ -90,9 +90,9 @@
         assert!(rosters.iter().all(|r| *r == rosters[0]), "{rosters:?}");
 
         // The stand-in stops the process if a step ever runs on two maps.
-        let steps = site.models[0].measure().steps;
+        let steps = site.models[0].take_stats().steps;
         async_std::task::sleep(Duration::from_millis(200)).await;
-        assert!(site.models[0].measure().steps > steps);
+        assert!(site.models[0].take_stats().steps > steps);
         site.stop().await;
     });
 }
--- a/grebedeck-lab/tests/losses.rs
+++ b/grebedeck-lab/tests/losses.rs
@@ -1,6 +1,6 @@
 //! Losses are put down to what was under way.
 
-use grebedeck_lab::losses::{Cause, Limits, Loss, Table, losses};
+use grebedeck_lab::losses::{Cause, Limits, Loss, LossSummary, find_losses};
 use serde_json::{Value, json};
 
 fn line(at_ms: i64, event: &str, fields: Value) -> String {
@@ -17,7 +17,7 @@
 }
 
 fn causes(lines: &[String]) -> Vec<Cause> {
-    let found: Vec<Loss> = losses(&[lines.join("\n")], Limits { pause_ms: 120 });
+    let found: Vec<Loss> = find_losses(&[lines.join("\n")], Limits { pause_ms: 120 });
 
     found.into_iter().map(|loss| loss.cause).collect()
 }
@@ -101,8 +101,8 @@
     let expected = [Cause::RefusedFull, Cause::RefusedOut, Cause::TimedOut, Cause::Failed];
     assert_eq!(causes(&lines), expected);
 
-    let found = losses(&[lines.join("\n")], Limits { pause_ms: 120 });
-    let table = Table::new(&found, 3);
+    let found = find_losses(&[lines.join("\n")], Limits { pause_ms: 120 });
+    let table = LossSummary::new(&found, 3);
     assert_eq!(table.by_route.get("notes"), Some(&1));
     assert_eq!(
         table.by_span.values().map(|causes| causes.values().sum::<usize>()).sum::<usize>(),
--- a/grebedeck-lab/tests/path.rs
+++ b/grebedeck-lab/tests/path.rs
@@ -125,7 +125,7 @@
 
         let mut buffer = vec![0; 64];
         assert!(answer.read(&mut buffer).await.unwrap() > 0);
-        let made_by_then = site.models[0].measure().steps;
+        let made_by_then = site.models[0].take_stats().steps;
         let mut rest = String::new();
         answer.response.take_body().read_to_string(&mut rest).await.unwrap();
 
@@ -249,7 +249,7 @@
         let other = Caller::new(entries[1], "fabrikam", "roster");
         assert_eq!(grant(&other, "grant-1", "run-2", "/grant").await.unwrap().status, 200);
 
-        let runs: Vec<_> = site.plain.values().flat_map(|p| p.runs()).collect();
+        let runs: Vec<_> = site.plain_services.values().flat_map(|p| p.runs()).collect();
         assert!(runs.iter().all(|(_, count)| *count == 1), "{runs:?}");
         assert_eq!(runs.len(), 2);
         site.stop().await;
