--- a/grebedeck-lab/src/lib.rs
+++ b/grebedeck-lab/src/lib.rs
@@ -1,8 +1,10 @@
-//! Stand-ins for what grebedeck meets, and experiments with its decisions. None of this is
-//! shipped.
+//! Stand-ins for the systems around grebedeck, and simulations and measurements of its decisions.
+//! Not shipped.
 //!
-//! [`platform`] stands in for the platform, [`model`] for a lock-step group of ranks, [`plain`] for
-//! a plain service, and [`site`] puts them and the real processes together on loopback.
+//! [`platform`] stands in for the platform, [`model`] for a lock-step group of ranks and [`plain`]
+//! for a plain service. [`site`] runs them together with real entries and agents on loopback.
+//! [`routing`], [`balance`] and [`switch_model`] are models without real processes. [`losses`]
+//! evaluates logs.
 
 #![forbid(unsafe_code)]
 
--- a/grebedeck-lab/src/losses.rs
+++ b/grebedeck-lab/src/losses.rs
@@ -1,81 +1,80 @@
-//! Where worth was lost, by the logs of gateways and rank processes.
+//! Causes of late, refused and failed requests, from the logs of gateways and rank processes.
 //!
-//! Each stream that came late, and each request that was refused or failed, is put down to one cause: what
-//! was under way at the moment of its longest pause, or why there was no place for it. Moments are those of
-//! the lines' own timestamps, so the logs have to be of machines whose clocks agree within some
-//! milliseconds.
+//! Each late stream and each refused or failed request is attributed to one cause: an event that was
+//! in progress during its longest pause, or the reason why it got no slot. Times are the timestamps
+//! of the log lines, so the clocks of the machines must agree within a few milliseconds.
 
 use std::collections::{BTreeMap, HashMap};
 
 use serde::Serialize;
 use serde_json::{Map, Value};
 
-/// A moment in milliseconds of the logs' clock.
-type StampMs = i64;
-
-/// How long before a placement is proposed a shift of what is popular has been under way: the time of a few
-/// counts.
-const SHIFT_LEAD_MS: StampMs = 500;
-/// How long after a process started, or a service was out, long pauses are put down to that: callers return
-/// together, and the first placement is not in use yet.
-const RETURN_MS: StampMs = 5_000;
-/// How long a change of placement lasts at the most: one whose leader is gone has no end in the logs.
-const MAX_CHANGE_MS: StampMs = 5_000;
-/// Skew above which a change of placement answers a shift, and not some drift.
+/// Timestamp of a log line, in milliseconds.
+type TimestampMs = i64;
+
+/// Assumed time from a shift of popularity to the proposed placement that follows it: the time of a
+/// few counts.
+const SHIFT_LAG_MS: TimestampMs = 500;
+/// Time after the start of a process or an outage of a service during which long pauses are
+/// attributed to it: all callers return at once, and the first placement is not in use yet.
+const RECOVERY_MS: TimestampMs = 5_000;
+/// Maximum duration of a placement change. A change whose leader is gone has no end in the logs.
+const MAX_CHANGE_MS: TimestampMs = 5_000;
+/// Skew above which a placement change is a response to a shift of popularity and not to drift.
 const SHIFT_SKEW: f64 = 2.3;
 
-/// Why a request was not served in time.
+/// Cause of a request's loss.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Cause {
-    /// A long pause before a placement that answers a shift was proposed.
+    /// Long pause after a shift of popularity, before the new placement was proposed.
     ShiftNotYetSeen,
-    /// A long pause while ranks copied experts for a placement that answers a shift.
+    /// Long pause while ranks copied experts in response to a shift.
     CopyingAfterShift,
-    /// A long pause while ranks copied experts for another placement.
+    /// Long pause while ranks copied experts for any other placement.
     Copying,
-    /// A long pause while a rank was slow.
+    /// Long pause while a rank was slow.
     SlowRank,
-    /// A long pause after processes had started or the service had been out.
+    /// Long pause after the start of a process or an outage of the service.
     AfterOutage,
-    /// A long pause for none of these reasons.
+    /// Long pause without any of these causes.
     Load,
-    /// Only the first event came late.
+    /// Late first event without a long pause.
     FirstEvent,
-    /// Refused, as all places were taken.
+    /// Refused because all slots were taken.
     RefusedFull,
-    /// Refused, as too many prompts had begun.
+    /// Refused because too many prompts had begun.
     RefusedPaced,
-    /// Refused, as the service was out.
+    /// Refused because the service was out.
     RefusedOut,
-    /// Refused, as all targets stood in evacuated halls.
+    /// Refused because all targets were in evacuated halls.
     RefusedEvacuated,
-    /// Refused, as all targets had asked for rest.
+    /// Refused because all targets had requested a delay.
     RefusedResting,
     /// Refused for another reason.
     RefusedOther,
-    /// The time was over.
+    /// Deadline passed.
     TimedOut,
-    /// The stream was cut.
+    /// Stream cut off.
     Cut,
-    /// Failed in another way, by a target's own failure among others.
+    /// Any other failure, including those of the target itself.
     Failed,
 }
 
-/// One request that was not served in time.
+/// Request that was late, refused or failed.
 #[derive(Clone, Debug, Serialize)]
 pub struct Loss {
-    /// When it was decided: the end of its longest pause, or of the request.
-    pub at_ms: StampMs,
-    /// Why.
+    /// End of the longest pause, or of the request.
+    pub at_ms: TimestampMs,
+    /// Cause.
     pub cause: Cause,
-    /// Its route, where the log has it.
+    /// Route, if the log contains it.
     pub route: Option<String>,
 }
 
-/// One line of a log.
+/// Parsed log line.
 struct Line {
-    at_ms: StampMs,
+    at_ms: TimestampMs,
     event: String,
     fields: Map<String, Value>,
 }
@@ -101,19 +100,19 @@
     }
 }
 
-/// What went on in the whole system.
+/// Events that affect more than one request.
 #[derive(Debug, Default)]
 struct Events {
-    /// Changes of placement: proposed, in use, and whether each answers a shift.
-    changes: Vec<(StampMs, StampMs, bool)>,
-    /// When processes started and services were out or came back.
-    outages: Vec<StampMs>,
-    /// Spans in which a rank was slow.
-    slow: Vec<(StampMs, StampMs)>,
+    /// Placement changes: time of the proposal, end, and whether it responds to a shift.
+    changes: Vec<(TimestampMs, TimestampMs, bool)>,
+    /// Starts of processes, and beginnings and ends of outages.
+    outages: Vec<TimestampMs>,
+    /// Time spans during which a rank was slow.
+    slow_spans: Vec<(TimestampMs, TimestampMs)>,
 }
 
 impl Events {
-    fn note(&mut self, line: &Line, slow_since: &mut HashMap<String, StampMs>) {
+    fn record(&mut self, line: &Line, slow_since: &mut HashMap<String, TimestampMs>) {
         match line.event.as_str() {
             "placement proposed" => {
                 let skew = line.fields.get("skew_before").and_then(Value::as_f64).unwrap_or(0.0);
@@ -130,37 +129,37 @@
                 if slowdown > 1.0 {
                     slow_since.entry(target).or_insert(line.at_ms);
                 } else if let Some(since) = slow_since.remove(&target) {
-                    self.slow.push((since, line.at_ms));
+                    self.slow_spans.push((since, line.at_ms));
                 }
             }
             _ => {}
         }
     }
 
-    fn end_change(&mut self, at_ms: StampMs) {
+    fn end_change(&mut self, at_ms: TimestampMs) {
         if let Some(change) = self.changes.last_mut() {
             change.1 = change.1.min(at_ms);
         }
     }
 
-    /// Gets the cause of a pause that began and ended at these moments.
-    fn cause_of_pause(&self, began_ms: StampMs, ended_ms: StampMs) -> Cause {
-        let is_in = |from: StampMs, to: StampMs| from <= ended_ms && began_ms < to;
+    /// Gets the cause of a pause with the given beginning and end.
+    fn cause_of_pause(&self, began_ms: TimestampMs, ended_ms: TimestampMs) -> Cause {
+        let overlaps = |from: TimestampMs, to: TimestampMs| from <= ended_ms && began_ms < to;
 
-        if self.outages.iter().any(|out| is_in(*out, *out + RETURN_MS)) {
+        if self.outages.iter().any(|out| overlaps(*out, *out + RECOVERY_MS)) {
             return Cause::AfterOutage;
         }
 
-        if self.slow.iter().any(|(from, to)| is_in(*from, *to)) {
+        if self.slow_spans.iter().any(|(from, to)| overlaps(*from, *to)) {
             return Cause::SlowRank;
         }
 
         for (proposed, in_use, is_shift) in &self.changes {
-            if is_in(*proposed, *in_use) {
+            if overlaps(*proposed, *in_use) {
                 return if *is_shift { Cause::CopyingAfterShift } else { Cause::Copying };
             }
 
-            if *is_shift && is_in(*proposed - SHIFT_LEAD_MS, *proposed) {
+            if *is_shift && overlaps(*proposed - SHIFT_LAG_MS, *proposed) {
                 return Cause::ShiftNotYetSeen;
             }
         }
@@ -169,30 +168,30 @@
     }
 }
 
-/// What a log tells of one request.
+/// Fields of a request's earlier log lines.
 #[derive(Debug, Default)]
 struct Request {
     route: Option<String>,
-    no_place: Option<String>,
+    refusal: Option<String>,
 }
 
-/// What streams are wanted to keep to.
+/// Limits of a timely stream.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Longest wanted pause between two events, in milliseconds.
+    /// Longest acceptable pause between two events.
     pub pause_ms: i64,
 }
 
-/// Finds the losses that logs tell of.
+/// Finds the losses in the contents of log files.
 pub fn find_losses(texts: &[String], limits: Limits) -> Vec<Loss> {
     let mut lines: Vec<Line> =
         texts.iter().flat_map(|t| t.lines()).filter_map(Line::parse).collect();
-    // Sorting keeps the order of one process's lines.
+    // The sort is stable, so lines of one process stay in order.
     lines.sort_by_key(|line| line.at_ms);
     let mut events = Events::default();
     let mut slow_since = HashMap::new();
-    lines.iter().for_each(|line| events.note(line, &mut slow_since));
-    events.slow.extend(slow_since.into_values().map(|since| (since, StampMs::MAX)));
+    lines.iter().for_each(|line| events.record(line, &mut slow_since));
+    events.slow_spans.extend(slow_since.into_values().map(|since| (since, TimestampMs::MAX)));
     let mut requests: HashMap<String, Request> = HashMap::new();
     let mut losses = Vec::new();
 
@@ -201,7 +200,7 @@
 
         match line.event.as_str() {
             "request admitted" => request.route = Some(line.text("route").to_string()),
-            "no place" => request.no_place = Some(line.text("reason").to_string()),
+            "no place" => request.refusal = Some(line.text("reason").to_string()),
             "stream slow" => {
                 let began_ms = line.at_ms - line.number("at_ms");
                 let at_ms = began_ms + line.number("pause_ended_ms");
@@ -214,7 +213,7 @@
                 losses.push(Loss { at_ms, cause, route: request.route.clone() });
             }
             "request ended" => {
-                if let Some(cause) = cause_of_end(line.text("end"), request) {
+                if let Some(cause) = cause_of_outcome(line.text("end"), request) {
                     losses.push(Loss { at_ms: line.at_ms, cause, route: request.route.clone() });
                 }
             }
@@ -225,8 +224,8 @@
     losses
 }
 
-fn cause_of_end(end: &str, request: &Request) -> Option<Cause> {
-    match (end, request.no_place.as_deref()) {
+fn cause_of_outcome(end: &str, request: &Request) -> Option<Cause> {
+    match (end, request.refusal.as_deref()) {
         ("refused", Some("full")) => Some(Cause::RefusedFull),
         ("refused", Some("paced")) => Some(Cause::RefusedPaced),
         ("refused", Some("out")) => Some(Cause::RefusedOut),
@@ -240,26 +239,26 @@
     }
 }
 
-/// Losses by cause and by span of time.
+/// Numbers of losses by cause, route and time span.
 #[derive(Clone, Debug, Serialize)]
 pub struct LossSummary {
-    /// First moment of the logs' losses.
-    pub from_ms: StampMs,
+    /// Time of the first loss.
+    pub from_ms: TimestampMs,
     /// Length of a span.
-    pub span_ms: StampMs,
+    pub span_ms: TimestampMs,
     /// Losses by cause.
     pub by_cause: BTreeMap<Cause, usize>,
     /// Losses by route.
     pub by_route: BTreeMap<String, usize>,
-    /// Losses by span, counted from `from_ms`, and cause.
-    pub by_span: BTreeMap<StampMs, BTreeMap<Cause, usize>>,
+    /// Losses by index of the span, starting at `from_ms`, and by cause.
+    pub by_span: BTreeMap<TimestampMs, BTreeMap<Cause, usize>>,
 }
 
 impl LossSummary {
-    /// Counts losses in spans of `span_ms`.
-    pub fn new(losses: &[Loss], span_ms: StampMs) -> Self {
+    /// Counts losses in spans of `span_ms` milliseconds.
+    pub fn new(losses: &[Loss], span_ms: TimestampMs) -> Self {
         let from_ms = losses.iter().map(|l| l.at_ms).min().unwrap_or(0);
-        let mut table = LossSummary {
+        let mut summary = LossSummary {
             from_ms,
             span_ms: span_ms.max(1),
             by_cause: BTreeMap::new(),
@@ -269,12 +268,12 @@
 
         for loss in losses {
             let route = loss.route.clone().unwrap_or_else(|| "not known".to_string());
-            let span = (loss.at_ms - from_ms) / table.span_ms;
-            *table.by_cause.entry(loss.cause).or_default() += 1;
-            *table.by_route.entry(route).or_default() += 1;
-            *table.by_span.entry(span).or_default().entry(loss.cause).or_default() += 1;
+            let span = (loss.at_ms - from_ms) / summary.span_ms;
+            *summary.by_cause.entry(loss.cause).or_default() += 1;
+            *summary.by_route.entry(route).or_default() += 1;
+            *summary.by_span.entry(span).or_default().entry(loss.cause).or_default() += 1;
         }
 
-        table
+        summary
     }
 }
--- a/grebedeck-lab/src/main.rs
+++ b/grebedeck-lab/src/main.rs
@@ -1,4 +1,4 @@
-//! The experiments' program.
+//! Command line of the simulations and measurements.
 
 use std::alloc::System;
 
@@ -8,27 +8,27 @@
 
 use stats_alloc::{INSTRUMENTED_SYSTEM, StatsAlloc};
 
-/// Counts what is allocated, for the probes of memory.
+/// Counts allocations for the memory probes.
 #[global_allocator]
 static ALLOCATOR: &StatsAlloc<System> = &INSTRUMENTED_SYSTEM;
 
-/// Experiments with grebedeck's decisions. Each prints its figures; --json for programs.
+/// Simulations and measurements of grebedeck. Each prints its results; --json for programs.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options)]
 enum Options {
-    /// Long random runs of the switch protocol, with its invariants checked
+    /// Run the switch protocol at random and check its invariants
     #[bpaf(command)]
     Switch(#[bpaf(external(switch::switch_options))] switch::SwitchOptions),
-    /// What the way through entry and agent adds, beside calls that go straight to the target
+    /// Measure the latency that entry and agent add to direct calls of the target
     #[bpaf(command)]
     Path(#[bpaf(external(path::path_options))] path::PathOptions),
-    /// Choice of a target by several policies, in virtual time
+    /// Compare policies for the selection of a target, in virtual time
     #[bpaf(command)]
     Routing(#[bpaf(external(routing::routing_options))] routing::RoutingOptions),
-    /// Many requests to a fleet whose processes are killed, and a check of every promise
+    /// Send requests to a fleet while its processes are killed, and check all guarantees
     #[bpaf(command)]
     Storm(#[bpaf(external(storm::storm_options))] storm::StormOptions),
-    /// What state, messages and decisions cost, as slopes over their number
+    /// Measure the cost of state, messages and decisions as slopes over their number
     #[bpaf(command)]
     Cost(#[bpaf(external(cost::cost_options))] cost::CostOptions),
     /// Write the settings of a fleet
@@ -40,16 +40,16 @@
     /// Measure a running fleet
     #[bpaf(command("fleet-measure"))]
     FleetMeasure(#[bpaf(external(fleet::fleet_options))] fleet::FleetOptions),
-    /// Balance a model of one group in virtual time, by several policies
+    /// Compare policies for the balance of experts in a model group, in virtual time
     #[bpaf(command)]
     Experts(#[bpaf(external(experts::experts_options))] experts::ExpertsOptions),
-    /// Where worth was lost, by the logs of gateways and rank processes
+    /// Count late, refused and failed requests by cause, from logs of gateways and rank processes
     #[bpaf(command)]
     Losses(#[bpaf(external(losses::losses_options))] losses::LossesOptions),
 }
 
 fn main() -> Result<()> {
-    // The processes' own log lines would stand between the figures.
+    // Log lines of the processes would be mixed with the printed results.
     grebedeck_kernel::log::start(spdlog::Level::Error)?;
 
     match options().run() {
--- a/grebedeck-lab/tests/losses.rs
+++ b/grebedeck-lab/tests/losses.rs
@@ -1,4 +1,4 @@
-//! Losses are put down to what was under way.
+//! Attribution of losses to causes.
 
 use grebedeck_lab::losses::{Cause, Limits, Loss, LossSummary, find_losses};
 use serde_json::{Value, json};
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn pauses_are_put_down_to_what_was_under_way_when_they_ended() {
+fn pauses_are_attributed_to_events_in_progress() {
     let proposed =
         |at_ms, skew: f64| line(at_ms, "placement proposed", json!({ "skew_before": skew }));
     let in_use = |at_ms| line(at_ms, "placement in use", json!({}));
@@ -31,7 +31,7 @@
         line(at_ms, "target's speed changed", json!({ "target": "i-1", "slowdown": slowdown }))
     };
     let lines = [
-        // Its leader was killed.
+        // The leader was killed, so this change has no end.
         proposed(10_000, 2.0),
         proposed(20_000, 3.1),
         in_use(20_600),
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn refusals_that_concern_all_targets_have_causes_of_their_own() {
+fn refusals_by_all_targets_have_separate_causes() {
     for (reason, cause) in
         [("evacuated", Cause::RefusedEvacuated), ("resting", Cause::RefusedResting)]
     {
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn requests_that_were_not_served_are_put_down_to_why() {
+fn unserved_requests_are_attributed_to_their_outcome() {
     let ended = |at_ms, id: &str, end: &str| {
         line(at_ms, "request ended", json!({ "request": id, "at_ms": 5, "end": end }))
     };
@@ -86,7 +86,7 @@
         line(at_ms, "no place", json!({ "request": id, "at_ms": 5, "reason": reason }))
     };
     let lines = [
-        "words of a collector without JSON".to_string(),
+        "line of a log collector without JSON".to_string(),
         line(1, "request admitted", json!({ "request": "a", "route": "notes" })),
         no_place(2, "a", "full"),
         ended(3, "a", "refused"),
@@ -102,11 +102,11 @@
     assert_eq!(causes(&lines), expected);
 
     let found = find_losses(&[lines.join("\n")], Limits { pause_ms: 120 });
-    let table = LossSummary::new(&found, 3);
-    assert_eq!(table.by_route.get("notes"), Some(&1));
+    let summary = LossSummary::new(&found, 3);
+    assert_eq!(summary.by_route.get("notes"), Some(&1));
     assert_eq!(
-        table.by_span.values().map(|causes| causes.values().sum::<usize>()).sum::<usize>(),
+        summary.by_span.values().map(|causes| causes.values().sum::<usize>()).sum::<usize>(),
         4
     );
-    assert_eq!(table.by_span.get(&0).map(|causes| causes.len()), Some(2));
+    assert_eq!(summary.by_span.get(&0).map(|causes| causes.len()), Some(2));
 }
