--- a/grebedeck-lab/src/switch_model.rs
+++ b/grebedeck-lab/src/switch_model.rs
@@ -1,9 +1,9 @@
-//! A model of one group's switches: members, coordinators, engines and an unreliable network.
+//! Model of a group that switches maps: members, coordinators, engines and an unreliable network.
 //!
-//! Messages are kept for ever once sent, so any of them can be delivered late, twice or never.
-//! Members can be replaced while their old selves live on unaware. [`explore`] visits every state up
-//! to a depth; [`random_run`] takes long random runs. Both check that no two current members begin the
-//! same step on different maps.
+//! Sent messages are kept forever, so any of them can be delivered late, repeatedly or never. A
+//! replaced member may continue to run without knowing of its replacement. [`explore`] visits every
+//! state up to a depth; [`random_run`] takes one long random run. Both check that no two current
+//! members begin the same step on different maps.
 
 use std::collections::{HashMap, HashSet};
 use std::rc::Rc;
@@ -15,33 +15,33 @@
     MemberNo, MemberOptions, Message,
 };
 
-/// A way in which the protocol is broken on purpose, to show that the checks notice.
+/// Fault injected into the protocol, to show that the checks detect it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProtocolFault {
-    /// Not at all.
+    /// No fault.
     None,
-    /// The coordinator commits although one member has not armed.
+    /// The coordinator commits before all members have armed.
     CommitWithoutAll,
-    /// A replaced member does not ask the others before it takes part.
+    /// A replacement does not join through the other members before it takes part.
     NoJoin,
-    /// Engines do not hold before an armed step.
+    /// Engines do not hold before the first step of an armed version.
     NoHold,
 }
 
-/// Bounds of a walk.
+/// Bounds of an exploration or a random run.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
     /// Number of members.
     pub members: usize,
-    /// Steps that the group may make.
+    /// Maximum number of steps of the group.
     pub steps: Step,
-    /// Members that may be replaced.
+    /// Maximum number of replacements.
     pub replacements: u32,
-    /// Proposals that may be made.
+    /// Maximum number of proposals.
     pub proposals: u32,
-    /// Whether to start with a proposal that is about to be armed.
+    /// Whether to start with a proposal that all members have prepared.
     pub start_arming: bool,
-    /// What is broken.
+    /// Injected fault.
     pub fault: ProtocolFault,
 }
 
@@ -58,27 +58,27 @@
     }
 }
 
-/// Two current members began a step on different maps.
+/// Violation of the invariant: two current members began a step on different maps.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
-    /// The step.
+    /// Step that both began.
     pub step: Step,
-    /// The two maps.
+    /// Versions of their maps.
     pub maps: (MapVersion, MapVersion),
 }
 
-/// What a walk or a random run has seen.
+/// Summary of an exploration or a random run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RunSummary {
-    /// Distinct states, or random actions.
+    /// Number of distinct states explored, or of random actions taken.
     pub states: usize,
-    /// Times that a member began to use a new map.
+    /// Number of times that a member began to use a new map.
     pub commits: usize,
-    /// Whether no state lies beyond those that were visited.
+    /// Whether all reachable states were visited.
     pub complete: bool,
 }
 
-/// One rank's engine, with a single place for a map that is to come.
+/// Engine of one rank. It keeps at most one next map.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Engine {
     map: Option<MapVersion>,
@@ -96,14 +96,13 @@
     coordinator: Option<Coordinator>,
 }
 
-/// A message, counted among all that were ever sent.
+/// Index of a message among all that were ever sent.
 type MessageNo = u16;
 
-/// A state of the model.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
     current: Vec<Process>,
-    /// Replaced processes that do not know it.
+    /// Replaced processes that still run.
     stale: Vec<Process>,
     sent: Vec<MessageNo>,
     step: Step,
@@ -117,13 +116,13 @@
     DeliverToStale(usize, MessageNo),
     Begin(usize),
     Tick(usize),
-    GiveUp(usize),
+    TimeOut(usize),
     Propose(usize),
     Replace(usize),
     Resume(usize),
 }
 
-/// The messages that were ever sent in any state of a walk.
+/// All messages that were ever sent in any state, numbered without duplicates.
 #[derive(Default)]
 struct Messages {
     all: Vec<Rc<Message>>,
@@ -149,7 +148,7 @@
     }
 }
 
-/// The model with its bounds.
+/// Transition function of the model, with its bounds.
 struct Model {
     bounds: Bounds,
     messages: Messages,
@@ -157,7 +156,7 @@
 }
 
 fn member_options() -> MemberOptions {
-    // Any wait may already be over, so a member may ask at any time.
+    // With zero delays a member may query the others at any tick.
     MemberOptions { query_delay: Duration::ZERO, retry_interval: Duration::ZERO }
 }
 
@@ -165,10 +164,10 @@
     CoordinatorOptions { lead_steps: 1, ..CoordinatorOptions::default() }
 }
 
-/// How many of the messages that were sent last are likely to be delivered next.
+/// Number of newest messages that random runs deliver with a high probability.
 const NEW_MESSAGES: usize = 8;
-/// A time by which every limit of a coordinator has passed.
-const LATE: Moment = Duration::from_secs(3600);
+/// Time at which all time-outs of a coordinator have expired.
+const AFTER_ALL_TIMEOUTS: Moment = Duration::from_secs(3600);
 
 impl Model {
     fn new(bounds: Bounds) -> Self {
@@ -196,20 +195,20 @@
         };
 
         if self.bounds.start_arming {
-            self.prepare_first(&mut state);
+            self.deliver_first_proposal(&mut state);
         }
 
         state
     }
 
-    /// Takes a first proposal to the point where it is about to be armed.
-    fn prepare_first(&mut self, state: &mut State) {
+    /// Delivers the messages of a first proposal until all members have prepared it.
+    fn deliver_first_proposal(&mut self, state: &mut State) {
         self.propose(state, 0);
 
         for _ in 0..2 {
             for number in std::mem::take(&mut state.sent) {
                 let message = self.messages.get(number);
-                self.deliver(state, Place::Current(usize::from(message.to)), &message);
+                self.deliver(state, ProcessIndex::Current(usize::from(message.to)), &message);
             }
         }
     }
@@ -227,7 +226,7 @@
             actions.push(Action::Tick(at));
 
             if process.coordinator.as_ref().is_some_and(|c| !c.is_idle()) {
-                actions.push(Action::GiveUp(at));
+                actions.push(Action::TimeOut(at));
             } else if state.proposed < self.bounds.proposals && at < 2 {
                 actions.push(Action::Propose(at));
             }
@@ -244,32 +243,33 @@
         actions
     }
 
-    /// Gives the state after an action.
-    fn act(&mut self, state: &State, action: Action) -> Result<State, Violation> {
+    /// Gets the state after an action.
+    fn apply(&mut self, state: &State, action: Action) -> Result<State, Violation> {
         let mut next = state.clone();
 
         match action {
             Action::Deliver(number) => {
                 let message = self.messages.get(number);
                 let at = usize::from(message.to);
-                self.deliver(&mut next, Place::Current(at), &message);
+                self.deliver(&mut next, ProcessIndex::Current(at), &message);
             }
             Action::DeliverToStale(at, number) => {
-                // A stale process still listens on the address that its successor has too.
+                // A stale process still receives messages for the member number that it shares with
+                // its replacement.
                 let message = self.messages.get(number);
 
                 if message.to == next.stale[at].no {
-                    self.deliver(&mut next, Place::Stale(at), &message);
+                    self.deliver(&mut next, ProcessIndex::Stale(at), &message);
                 }
             }
             Action::Begin(at) => self.begin(&mut next, at)?,
             Action::Tick(at) => {
-                let orders = next.current[at].member.tick(Moment::ZERO);
-                self.carry_out(&mut next, Place::Current(at), orders);
+                let actions = next.current[at].member.tick(Moment::ZERO);
+                self.execute(&mut next, ProcessIndex::Current(at), actions);
             }
-            Action::GiveUp(at) => {
-                let orders = coordinator_of(&mut next, at).tick(LATE);
-                self.carry_out_coordination(&mut next, orders);
+            Action::TimeOut(at) => {
+                let actions = coordinator_of(&mut next, at).tick(AFTER_ALL_TIMEOUTS);
+                self.execute_coordinator(&mut next, actions);
             }
             Action::Propose(at) => self.propose(&mut next, at),
             Action::Replace(at) => self.replace(&mut next, at),
@@ -281,27 +281,27 @@
         Ok(next)
     }
 
-    fn deliver(&mut self, state: &mut State, place: Place, message: &Message) {
+    fn deliver(&mut self, state: &mut State, index: ProcessIndex, message: &Message) {
         let step = state.step;
-        let process = process_of(state, place);
+        let process = process_of(state, index);
         let begun = process.engine.begun.is_some_and(|(s, _)| s == step);
         let next_step = step + Step::from(begun);
 
         if let Some(coordinator) = &mut process.coordinator {
-            let orders = coordinator.receive(message, Moment::ZERO);
-            let early = self.bounds.fault == ProtocolFault::CommitWithoutAll;
-            self.carry_out_coordination(state, orders);
+            let actions = coordinator.receive(message, Moment::ZERO);
+            let commits_early = self.bounds.fault == ProtocolFault::CommitWithoutAll;
+            self.execute_coordinator(state, actions);
 
-            if early && matches!(message.body, Body::Report { .. }) {
+            if commits_early && matches!(message.body, Body::Report { .. }) {
                 self.commit_early(state, message);
             }
         }
 
-        let orders = process_of(state, place).member.receive(message, next_step);
-        self.carry_out(state, place, orders);
+        let actions = process_of(state, index).member.receive(message, next_step);
+        self.execute(state, index, actions);
     }
 
-    /// The broken coordinator takes any report for everybody's.
+    /// Commits after the first report, as if all members had sent one.
     fn commit_early(&mut self, state: &mut State, report: &Message) {
         let Body::Report { version, .. } = report.body else {
             return;
@@ -317,9 +317,9 @@
 
     fn begin(&mut self, state: &mut State, at: usize) -> Result<(), Violation> {
         let step = state.step;
-        let no_hold = self.bounds.fault == ProtocolFault::NoHold;
+        let ignores_hold = self.bounds.fault == ProtocolFault::NoHold;
         let engine = &mut state.current[at].engine;
-        let held = !no_hold && engine.hold_at.is_some_and(|h| step >= h);
+        let held = !ignores_hold && engine.hold_at.is_some_and(|h| step >= h);
         let done = engine.begun.is_some_and(|(s, _)| s == step) || step >= self.bounds.steps;
 
         if held || done {
@@ -369,9 +369,9 @@
         }
 
         let coordinator = coordinator_of(state, at);
-        let orders = coordinator.propose(status.current, status.roster, Moment::ZERO);
+        let actions = coordinator.propose(status.current, status.roster, Moment::ZERO);
         state.proposed += 1;
-        self.carry_out_coordination(state, orders);
+        self.execute_coordinator(state, actions);
     }
 
     fn replace(&mut self, state: &mut State, at: usize) {
@@ -379,9 +379,9 @@
         let incarnation = state.current[at].incarnation + 1;
         let no = at as MemberNo;
         let options = member_options();
-        let no_join = self.bounds.fault == ProtocolFault::NoJoin;
+        let skips_join = self.bounds.fault == ProtocolFault::NoJoin;
         let first = MapVersion::default();
-        let member = if no_join {
+        let member = if skips_join {
             let mut roster = vec![1; size];
             roster[at] = incarnation;
             Member::new(no, roster, first, options)
@@ -389,45 +389,45 @@
             Member::replacing(no, size, incarnation, Moment::ZERO, options)
         };
         let engine = Engine { map: None, next_map: None, hold_at: None, begun: None };
-        let fresh = Process { no, member, incarnation, engine, coordinator: None };
+        let replacement = Process { no, member, incarnation, engine, coordinator: None };
 
-        state.stale.push(std::mem::replace(&mut state.current[at], fresh));
+        state.stale.push(std::mem::replace(&mut state.current[at], replacement));
         state.replaced += 1;
     }
 
-    fn carry_out(&mut self, state: &mut State, place: Place, orders: Vec<MemberAction>) {
-        for order in orders {
-            match order {
+    fn execute(&mut self, state: &mut State, index: ProcessIndex, actions: Vec<MemberAction>) {
+        for action in actions {
+            match action {
                 MemberAction::Send(message) => state.sent.push(self.messages.number(message)),
                 MemberAction::Load { version } => {
-                    let step = next_step_of(state, place);
-                    let orders = process_of(state, place).member.loaded(version, step);
-                    self.carry_out(state, place, orders);
+                    let step = next_step_of(state, index);
+                    let actions = process_of(state, index).member.loaded(version, step);
+                    self.execute(state, index, actions);
                 }
                 MemberAction::HoldAt { version, at_step } => {
-                    let done = next_step_of(state, place) <= at_step;
-                    let process = process_of(state, place);
+                    let done = next_step_of(state, index) <= at_step;
+                    let process = process_of(state, index);
 
                     if done {
                         process.engine.hold_at = Some(at_step);
                     }
 
-                    let orders = process.member.held(version, done, Moment::ZERO);
-                    self.carry_out(state, place, orders);
+                    let actions = process.member.held(version, done, Moment::ZERO);
+                    self.execute(state, index, actions);
                 }
                 MemberAction::Use { version, at_step } => {
-                    let engine = &mut process_of(state, place).engine;
+                    let engine = &mut process_of(state, index).engine;
                     engine.next_map = Some((version, at_step));
                     engine.hold_at = None;
                 }
-                MemberAction::KeepCurrent { .. } => process_of(state, place).engine.hold_at = None,
+                MemberAction::KeepCurrent { .. } => process_of(state, index).engine.hold_at = None,
             }
         }
     }
 
-    fn carry_out_coordination(&mut self, state: &mut State, orders: Vec<CoordinatorAction>) {
-        for order in orders {
-            if let CoordinatorAction::Send(message) = order {
+    fn execute_coordinator(&mut self, state: &mut State, actions: Vec<CoordinatorAction>) {
+        for action in actions {
+            if let CoordinatorAction::Send(message) = action {
                 state.sent.push(self.messages.number(message));
             }
         }
@@ -435,30 +435,30 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-enum Place {
+enum ProcessIndex {
     Current(usize),
     Stale(usize),
 }
 
-fn process_of(state: &mut State, place: Place) -> &mut Process {
-    match place {
-        Place::Current(at) => &mut state.current[at],
-        Place::Stale(at) => &mut state.stale[at],
+fn process_of(state: &mut State, index: ProcessIndex) -> &mut Process {
+    match index {
+        ProcessIndex::Current(at) => &mut state.current[at],
+        ProcessIndex::Stale(at) => &mut state.stale[at],
     }
 }
 
-fn next_step_of(state: &mut State, place: Place) -> Step {
+fn next_step_of(state: &mut State, index: ProcessIndex) -> Step {
     let step = state.step;
-    let begun = process_of(state, place).engine.begun.is_some_and(|(s, _)| s == step);
+    let begun = process_of(state, index).engine.begun.is_some_and(|(s, _)| s == step);
 
     step + Step::from(begun)
 }
 
 fn coordinator_of(state: &mut State, at: usize) -> &mut Coordinator {
-    state.current[at].coordinator.as_mut().expect("only a coordinator is asked")
+    state.current[at].coordinator.as_mut().expect("the process has a coordinator")
 }
 
-/// Brings a replaced member's engine to the group's map, as the agent does.
+/// Sets the engine of a replacement to the group's map, as the agent does.
 fn resume(state: &mut State, at: usize) {
     let step = state.step;
     let process = &mut state.current[at];
@@ -473,7 +473,7 @@
     }
 }
 
-/// Visits every state that at most `depth` actions lead to.
+/// Visits every state that is reachable with at most `depth` actions.
 pub fn explore(bounds: Bounds, depth: usize) -> Result<RunSummary, Violation> {
     let mut model = Model::new(bounds);
     let start = model.start();
@@ -485,7 +485,7 @@
 
         for state in frontier {
             for action in model.actions(&state) {
-                let next = model.act(&state, action)?;
+                let next = model.apply(&state, action)?;
 
                 if seen.insert(fingerprint(&next)) {
                     next_frontier.push(next);
@@ -500,7 +500,7 @@
     Ok(RunSummary { states: seen.len(), commits: model.commits, complete })
 }
 
-/// A digest that stands for a state, so that millions of them fit in memory.
+/// Hash of a state; millions of these fit into memory, the states would not.
 fn fingerprint(state: &State) -> u128 {
     use std::hash::{Hash, Hasher};
 
@@ -513,7 +513,7 @@
     u128::from(low.finish()) | (u128::from(high.finish()) << 64)
 }
 
-/// Takes one random run of `actions` actions.
+/// Takes `actions` random actions.
 pub fn random_run(
     bounds: Bounds,
     actions: usize,
@@ -524,15 +524,16 @@
 
     for _ in 0..actions {
         let possible = model.actions(&state);
-        let action = draw(&possible, &state, random);
-        state = model.act(&state, action)?;
+        let action = draw_action(&possible, &state, random);
+        state = model.apply(&state, action)?;
     }
 
     Ok(RunSummary { states: actions, commits: model.commits, complete: false })
 }
 
-/// Draws an action. Faults are rare and new messages likely, or else nothing would ever commit.
-fn draw(possible: &[Action], state: &State, random: &mut impl RandomSource) -> Action {
+/// Draws an action. Faults are rare and deliveries of new messages likely; otherwise hardly any
+/// version would be committed.
+fn draw_action(possible: &[Action], state: &State, random: &mut impl RandomSource) -> Action {
     let newest = state.sent.len().saturating_sub(NEW_MESSAGES);
     let is_new = |number: &MessageNo| state.sent[newest..].contains(number);
 
@@ -545,7 +546,7 @@
             Action::Begin(_) => 0.3,
             Action::Propose(_) | Action::Resume(_) => 0.5,
             Action::Tick(_) => 0.05,
-            Action::GiveUp(_) | Action::Replace(_) => 0.01,
+            Action::TimeOut(_) | Action::Replace(_) => 0.01,
         };
 
         if random.unit() < chance {
