--- a/grebedeck-lab/src/balance.rs
+++ b/grebedeck-lab/src/balance.rs
@@ -1,8 +1,10 @@
-//! A model of one group's balance in virtual time: popularity drifts, policies answer.
+//! Simulation of the balance of experts in one group, in virtual time, to compare policies.
 //!
-//! A step lasts its base time plus, for each layer, the time of the layer's slowest rank, since
-//! ranks meet at the end of every layer. Loading weights takes the weight store's rate, one expert
-//! after another, and slows the rank that loads. Counters arrive late and with gaps.
+//! The popularity of experts follows a [`Trace`], and a policy adjusts the expert map to it. A step
+//! takes its base time plus, for each layer, the time of the layer's slowest rank, since ranks
+//! synchronise at the end of every layer. Weights are loaded one expert at a time, at the rate of
+//! the weight store, and slow the rank that loads. Reports of token counts arrive late, and some
+//! are lost.
 
 pub mod pack;
 pub mod policy;
--- a/grebedeck-lab/src/balance/pack.rs
+++ b/grebedeck-lab/src/balance/pack.rs
@@ -1,10 +1,11 @@
-//! Packing a layer anew, as a baseline and as the bound.
+//! Packing of experts onto ranks from scratch, for the baseline policies and the bound.
 
 use grebedeck_core::Rank;
 use grebedeck_experts::map::{ExpertMap, LayerMap, Replica};
 
-/// Packs every layer: spare slots go to the experts with the most load per replica, and replicas go
-/// to the ranks that end earliest, the heaviest first. Shares are even.
+/// Packs every layer greedily. Spare slots go to the experts with the highest load per replica.
+/// Then replicas, the heaviest first, go to the ranks that would finish earliest. The replicas of
+/// an expert have equal shares.
 pub fn pack(fractions: &[Vec<f32>], costs: &[f32], slots_per_rank: u16) -> ExpertMap {
     let ranks = costs.len() as Rank;
     let layers = fractions.iter().map(|f| pack_layer(f, costs, slots_per_rank)).collect();
@@ -18,10 +19,11 @@
     let mut copies = vec![1usize; fractions.len()];
 
     for _ in fractions.len()..slots {
-        let per_copy = |e: &usize| fractions[*e] / copies[*e] as f32;
-        let open = |e: &usize| copies[*e] < usize::from(ranks);
-        let heaviest =
-            (0..fractions.len()).filter(open).max_by(|a, b| per_copy(a).total_cmp(&per_copy(b)));
+        let load_per_copy = |e: &usize| fractions[*e] / copies[*e] as f32;
+        let can_replicate = |e: &usize| copies[*e] < usize::from(ranks);
+        let heaviest = (0..fractions.len())
+            .filter(can_replicate)
+            .max_by(|a, b| load_per_copy(a).total_cmp(&load_per_copy(b)));
 
         match heaviest {
             Some(expert) => copies[expert] += 1,
@@ -35,23 +37,24 @@
 fn place(fractions: &[f32], copies: &[usize], costs: &[f32], slots_per_rank: u16) -> LayerMap {
     let ranks = costs.len() as Rank;
     let load_of = |expert: usize| fractions[expert] / copies[expert] as f32;
-    let mut all: Vec<usize> =
+    let mut replicas_by_load: Vec<usize> =
         copies.iter().enumerate().flat_map(|(e, n)| std::iter::repeat_n(e, *n)).collect();
-    all.sort_by(|a, b| load_of(*b).total_cmp(&load_of(*a)));
+    replicas_by_load.sort_by(|a, b| load_of(*b).total_cmp(&load_of(*a)));
 
     let mut loads = vec![0.0f32; ranks.into()];
     let mut held = vec![0u16; ranks.into()];
     let mut experts: Vec<Vec<Replica>> = vec![Vec::new(); fractions.len()];
 
-    for expert in all {
-        let free = |r: &Rank| held[usize::from(*r)] < slots_per_rank;
-        let fresh = |r: &Rank| experts[expert].iter().all(|x| x.rank != *r);
-        let own = load_of(expert);
-        let end = |r: &Rank| (loads[usize::from(*r)] + own) * costs[usize::from(*r)];
-        let by_end = |a: &Rank, b: &Rank| end(a).total_cmp(&end(b));
+    for expert in replicas_by_load {
+        let has_free_slot = |r: &Rank| held[usize::from(*r)] < slots_per_rank;
+        let lacks_expert = |r: &Rank| experts[expert].iter().all(|x| x.rank != *r);
+        let load = load_of(expert);
+        let finish = |r: &Rank| (loads[usize::from(*r)] + load) * costs[usize::from(*r)];
+        let by_finish = |a: &Rank, b: &Rank| finish(a).total_cmp(&finish(b));
 
-        // A replica for which only ranks that hold the expert are left is dropped.
-        let Some(rank) = (0..ranks).filter(free).filter(fresh).min_by(by_end) else {
+        // A replica is dropped if all ranks with a free slot already hold the expert.
+        let Some(rank) = (0..ranks).filter(has_free_slot).filter(lacks_expert).min_by(by_finish)
+        else {
             continue;
         };
 
--- a/grebedeck-lab/src/balance/policy.rs
+++ b/grebedeck-lab/src/balance/policy.rs
@@ -1,4 +1,4 @@
-//! The policies that are compared.
+//! Policies for the expert map of a group.
 
 use std::time::Duration;
 
@@ -12,23 +12,23 @@
 use super::pack::pack;
 use super::sim::Setup;
 
-/// Which policy decides.
+/// Kind of a policy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PolicyKind {
-    /// The first map for ever.
+    /// Keeps the first map.
     Static,
-    /// A new packing every interval.
+    /// Packs anew at a fixed interval.
     Repack,
-    /// A new packing when the skew passes a threshold.
+    /// Packs anew when the skew exceeds a threshold.
     Threshold,
-    /// The product's own.
+    /// Grebedeck's [`Planner`].
     Ours,
-    /// Knows the popularity, and moves for free.
+    /// Knows the true popularity and moves experts at no cost: the bound.
     Clairvoyant,
 }
 
 impl PolicyKind {
-    /// All policies, in the order of reports.
+    /// All policies, in the order of the printed results.
     pub const ALL: [PolicyKind; 5] = [
         PolicyKind::Static,
         PolicyKind::Repack,
@@ -37,7 +37,7 @@
         PolicyKind::Clairvoyant,
     ];
 
-    /// Gets the policy's name.
+    /// Gets the policy's name in options and printed results.
     pub fn name(self) -> &'static str {
         match self {
             PolicyKind::Static => "static",
@@ -54,14 +54,14 @@
     }
 }
 
-/// Steps between two packings of `repack`.
+/// Interval of `Repack`.
 const REPACK_STEPS: Step = 3000;
-/// Skew above which `threshold` packs anew.
-const THRESHOLD: f32 = 1.15;
-/// Windows of counts that a packing is based on.
-const PACK_WINDOWS: usize = 10;
+/// Skew above which `Threshold` packs anew.
+const SKEW_THRESHOLD: f32 = 1.15;
+/// Number of latest count windows that a packing uses.
+const MAX_PACK_WINDOWS: usize = 10;
 
-/// A policy at work: counts come in, maps go out.
+/// Policy with its state: it observes token counts and decides on new maps.
 pub struct Policy {
     kind: PolicyKind,
     setup: Setup,
@@ -69,11 +69,11 @@
     budget: ChangeBudget,
     popularity: Popularity,
     windows: Vec<Vec<Vec<f32>>>,
-    last_pack: Step,
+    last_pack_step: Step,
 }
 
 impl Policy {
-    /// Makes a policy.
+    /// Creates a policy.
     pub fn new(kind: PolicyKind, setup: &Setup) -> Self {
         let options = PlanOptions {
             skew_weight: setup.profile.skew_weight,
@@ -93,11 +93,11 @@
                 PopularityOptions::default(),
             ),
             windows: Vec::new(),
-            last_pack: 0,
+            last_pack_step: 0,
         }
     }
 
-    /// Takes in a window of counts, by layer and expert.
+    /// Records the token counts of a window, by layer and expert.
     pub fn observe(&mut self, counts: Vec<Vec<f32>>, until_step: Step) {
         for (layer, tokens) in counts.iter().enumerate() {
             let layer = layer as Layer;
@@ -106,12 +106,12 @@
 
         self.windows.push(counts);
 
-        if self.windows.len() > PACK_WINDOWS {
+        if self.windows.len() > MAX_PACK_WINDOWS {
             self.windows.remove(0);
         }
     }
 
-    /// Gives the next map, if there is to be one.
+    /// Gets the next map if the policy changes the current one.
     pub fn decide(&mut self, map: &ExpertMap, costs: &[f32], step: Step) -> Option<ExpertMap> {
         match self.kind {
             PolicyKind::Static | PolicyKind::Clairvoyant => None,
@@ -130,20 +130,21 @@
                 self.budget.spend(map.delta_to(&next).experts.len());
                 Some(next)
             }
-            PolicyKind::Repack => self.pack_if(step >= self.last_pack + REPACK_STEPS, step),
+            PolicyKind::Repack => self.pack_if(step >= self.last_pack_step + REPACK_STEPS, step),
             PolicyKind::Threshold => {
-                let due = self.skew(map, costs) > THRESHOLD && step > self.last_pack + 300;
-                self.pack_if(due, step)
+                let is_due =
+                    self.skew(map, costs) > SKEW_THRESHOLD && step > self.last_pack_step + 300;
+                self.pack_if(is_due, step)
             }
         }
     }
 
-    fn pack_if(&mut self, due: bool, step: Step) -> Option<ExpertMap> {
-        if !due || self.windows.is_empty() {
+    fn pack_if(&mut self, is_due: bool, step: Step) -> Option<ExpertMap> {
+        if !is_due || self.windows.is_empty() {
             return None;
         }
 
-        self.last_pack = step;
+        self.last_pack_step = step;
         let costs = vec![1.0; self.setup.ranks.into()];
         Some(pack(&self.window_fractions(), &costs, self.setup.slots_per_rank))
     }
@@ -179,7 +180,7 @@
     }
 }
 
-/// The bound: a packing by the true popularity, with the best shares.
+/// Packs by the true popularity with balanced shares, as the bound for all policies.
 pub fn clairvoyant(fractions: &[Vec<f32>], costs: &[f32], setup: &Setup) -> ExpertMap {
     let mut map = pack(fractions, costs, setup.slots_per_rank);
 
--- a/grebedeck-lab/src/balance/sim.rs
+++ b/grebedeck-lab/src/balance/sim.rs
@@ -1,4 +1,4 @@
-//! The model itself.
+//! Simulation of a group's steps under a policy.
 
 use std::time::Instant;
 
@@ -10,58 +10,58 @@
 use super::policy::{Policy, PolicyKind, clairvoyant};
 use super::trace::{TICK_STEPS, Trace, TraceKind, TraceOptions, normal};
 
-/// How a user weighs step time against the cost of rebalancing.
+/// Weights of step time and of the cost of rebalancing.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Profile {
-    /// Weight of step time above the ideal.
+    /// Weight of the step time above that of balanced ranks.
     pub skew_weight: f32,
-    /// Weight of moved weights and lost steps.
+    /// Weight of the time spent on loading experts.
     pub cost_weight: f32,
 }
 
-/// A user that weighs skew more heavily.
+/// Profile that emphasises low skew.
 pub const SKEW_PROFILE: Profile = Profile { skew_weight: 3.0, cost_weight: 1.0 };
-/// A user that weighs the cost of rebalancing more heavily.
+/// Profile that emphasises few moves.
 pub const COST_PROFILE: Profile = Profile { skew_weight: 1.0, cost_weight: 3.0 };
 
-/// Parameters of the model.
+/// Parameters of the simulation.
 #[derive(Clone, Debug)]
 pub struct Setup {
-    /// Ranks of the group.
+    /// Number of ranks.
     pub ranks: Rank,
-    /// Experts of a layer.
+    /// Experts per layer.
     pub experts: usize,
-    /// Layers.
+    /// Number of layers.
     pub layers: usize,
-    /// Experts of a layer that fit on a rank.
+    /// Experts of one layer that fit on one rank.
     pub slots_per_rank: u16,
     /// Time of a step without tokens.
     pub base_ms: f64,
-    /// Time that the tokens of a step take on a rank, if all ranks are level.
+    /// Time that the tokens of a step take if all ranks are balanced.
     pub work_ms: f64,
-    /// Tokens routed in each layer and step, over all experts.
+    /// Tokens routed per layer and step, over all experts.
     pub tokens_per_step: f64,
-    /// Time to load one expert of one layer from the store.
+    /// Time to load one expert of one layer from the weight store.
     pub move_ms: f64,
-    /// Slowness of a rank while it loads.
+    /// Factor by which a rank is slower while it loads.
     pub load_slowdown: f32,
-    /// Steps between two reports of counters.
+    /// Steps between two reports of token counts.
     pub counts_steps: Step,
-    /// Reports by which counters are late.
+    /// Delay of reports, in report intervals.
     pub lag_reports: usize,
-    /// Part of the reports that are lost.
+    /// Fraction of reports that are lost.
     pub gaps: f64,
     /// Steps between two decisions.
     pub plan_steps: Step,
-    /// Steps between a switch's order and the switch.
+    /// Steps between the end of loading and the switch of the map.
     pub lead_steps: Step,
-    /// Period of the trace.
+    /// Period of the trace, in steps.
     pub period_steps: Step,
-    /// Steps at the start whose skew is not counted, since nothing was known yet.
+    /// Steps at the start whose skew is not counted, because no popularity is known yet.
     pub warm_up_steps: Step,
-    /// Steps of a run.
+    /// Steps per run.
     pub steps: Step,
-    /// How costs are weighed.
+    /// Weights for the total cost.
     pub profile: Profile,
 }
 
@@ -97,40 +97,40 @@
     }
 }
 
-/// What a run showed.
+/// Results of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
-    /// The policy.
+    /// Name of the policy.
     pub policy: &'static str,
-    /// Mean of the slowest rank's time over the mean rank's.
+    /// Mean skew: step time of the slowest rank, divided by that of the mean rank.
     pub skew_mean: f64,
-    /// Median of it.
+    /// Median skew.
     pub skew_p50: f64,
-    /// 95th percentile of it.
+    /// 95th percentile of the skew.
     pub skew_p95: f64,
-    /// 99th percentile of it.
+    /// 99th percentile of the skew.
     pub skew_p99: f64,
-    /// 95th percentile outside of the first 2 s after a sharp swing.
+    /// 95th percentile of the skew, without the first 2 s after a launch.
     pub calm_skew_p95: f64,
-    /// Steps that were held back.
+    /// Always 0: the simulation does not hold steps.
     pub lost_steps: u64,
-    /// Experts of a layer that were loaded.
+    /// Experts loaded, counted per layer.
     pub moves: u64,
-    /// Moves in the second half of the run, when a steady policy should have settled.
+    /// Moves in the second half of the run, when a stable policy should have converged.
     pub late_moves: u64,
-    /// Switches of the map.
+    /// Number of switches to a new map.
     pub switches: u64,
-    /// Experts whose placement or shares changed, over all switches.
+    /// Experts whose placement or shares changed, summed over all switches.
     pub changed_experts: u64,
-    /// Steps of ranks that were slowed by loading.
+    /// Number of rank steps slowed by loading.
     pub disturbed_rank_steps: u64,
-    /// Longest decision, in milliseconds.
+    /// Maximum real time of a decision, in milliseconds.
     pub plan_ms_max: f64,
-    /// Time above the ideal, in milliseconds.
+    /// Step time above that of balanced ranks, in milliseconds.
     pub skew_cost_ms: f64,
-    /// Cost of moves and lost steps, in milliseconds.
+    /// Time spent on loading experts, in milliseconds.
     pub move_cost_ms: f64,
-    /// Both, weighed by the profile, in milliseconds for each 1,000 steps.
+    /// Sum of both costs weighted by the profile, in milliseconds per 1,000 steps.
     pub total_cost: f64,
 }
 
@@ -146,13 +146,13 @@
     kind: PolicyKind,
     policy: Policy,
     trace: Trace,
-    draws: SeededSource,
-    faults: SeededSource,
+    token_draws: SeededSource,
+    noise: SeededSource,
     map: ExpertMap,
     fractions: Vec<Vec<f32>>,
     costs: Vec<f32>,
-    counted: Vec<Vec<f32>>,
-    late: Vec<(Vec<Vec<f32>>, Step)>,
+    counts: Vec<Vec<f32>>,
+    delayed_counts: Vec<(Vec<Vec<f32>>, Step)>,
     loading: Option<Loading>,
     skews: Vec<(f32, bool)>,
     skew_cost_ms: f64,
@@ -160,11 +160,11 @@
     late_moves: u64,
     switches: u64,
     changed_experts: u64,
-    disturbed: u64,
+    disturbed_rank_steps: u64,
     plan_ms_max: f64,
 }
 
-/// Runs a policy on a trace; the same seed gives the same draws to every policy.
+/// Simulates a policy on a trace. Every policy sees the same random draws for the same seed.
 pub fn run(kind: PolicyKind, trace: TraceKind, setup: &Setup, seed: u64) -> Report {
     let options = TraceOptions {
         experts: setup.experts,
@@ -183,13 +183,13 @@
         kind,
         policy: Policy::new(kind, setup),
         trace: Trace::new(trace, options, seed),
-        draws: SeededSource::new(seed ^ 0x5eed),
-        faults: SeededSource::new(seed ^ 0xfa17),
+        token_draws: SeededSource::new(seed ^ 0x5eed),
+        noise: SeededSource::new(seed ^ 0xfa17),
         map,
         fractions: Vec::new(),
         costs: vec![1.0; setup.ranks.into()],
-        counted: vec![vec![0.0; setup.experts]; setup.layers],
-        late: Vec::new(),
+        counts: vec![vec![0.0; setup.experts]; setup.layers],
+        delayed_counts: Vec::new(),
         loading: None,
         skews: Vec::new(),
         skew_cost_ms: 0.0,
@@ -197,7 +197,7 @@
         late_moves: 0,
         switches: 0,
         changed_experts: 0,
-        disturbed: 0,
+        disturbed_rank_steps: 0,
         plan_ms_max: 0.0,
     };
 
@@ -237,7 +237,7 @@
 
         if let Some(rank) = self.loading_rank() {
             costs[usize::from(rank)] *= self.setup.load_slowdown;
-            self.disturbed += 1;
+            self.disturbed_rank_steps += 1;
         }
 
         let (mut worst, mut mean) = (0.0f64, 0.0f64);
@@ -253,45 +253,46 @@
         let scale = self.setup.layer_work_ms() / self.setup.tokens_per_step;
         let took_ms = self.setup.base_ms + worst * scale;
         let mean_ms = self.setup.base_ms + mean * scale;
-        let swung = self.trace.last_launch();
-        let calm = swung == 0 || step > swung + (2_000.0 / took_ms) as Step;
+        let last_launch = self.trace.last_launch();
+        let is_calm = last_launch == 0 || step > last_launch + (2_000.0 / took_ms) as Step;
 
         self.skew_cost_ms += took_ms - mean_ms;
 
         if step >= self.setup.warm_up_steps {
-            self.skews.push(((took_ms / mean_ms) as f32, calm));
+            self.skews.push(((took_ms / mean_ms) as f32, is_calm));
         }
 
         took_ms
     }
 
-    /// Draws a step's tokens for each expert of a layer, and counts them.
+    /// Draws the tokens of a step for each expert of a layer and adds them to the counts.
     fn draw_counts(&mut self, layer: usize) -> Vec<f32> {
         let tokens = self.setup.tokens_per_step;
         let mut counts = Vec::with_capacity(self.setup.experts);
 
         for (expert, fraction) in self.fractions[layer].iter().enumerate() {
             let expected = f64::from(*fraction) * tokens;
-            let count = (expected + expected.sqrt() * normal(&mut self.draws)).max(0.0) as f32;
-            self.counted[layer][expert] += count;
+            let count =
+                (expected + expected.sqrt() * normal(&mut self.token_draws)).max(0.0) as f32;
+            self.counts[layer][expert] += count;
             counts.push(count);
         }
 
         counts
     }
 
-    /// Reports what was counted; reports are late, and some are lost.
+    /// Reports the counts to the policy, with a delay and with losses.
     fn deliver_counts(&mut self, step: Step) {
         let empty = vec![vec![0.0; self.setup.experts]; self.setup.layers];
-        self.late.push((std::mem::replace(&mut self.counted, empty), step));
+        self.delayed_counts.push((std::mem::replace(&mut self.counts, empty), step));
 
-        if self.late.len() <= self.setup.lag_reports {
+        if self.delayed_counts.len() <= self.setup.lag_reports {
             return;
         }
 
-        let (counts, until_step) = self.late.remove(0);
+        let (counts, until_step) = self.delayed_counts.remove(0);
 
-        if self.faults.unit() >= self.setup.gaps {
+        if self.noise.unit() >= self.setup.gaps {
             self.policy.observe(counts, until_step);
         }
     }
@@ -301,15 +302,15 @@
             return;
         }
 
-        // Engines report their own time per token, with some noise.
+        // Engines measure their own time per token, with some noise.
         let noisy = |c: &f32, r: &mut SeededSource| c * (1.0 + 0.01 * normal(r) as f32);
-        let costs: Vec<f32> = self.costs.iter().map(|c| noisy(c, &mut self.faults)).collect();
+        let costs: Vec<f32> = self.costs.iter().map(|c| noisy(c, &mut self.noise)).collect();
         let start = Instant::now();
         let next = self.policy.decide(&self.map, &costs, step);
         self.plan_ms_max = self.plan_ms_max.max(start.elapsed().as_secs_f64() * 1e3);
 
         if let Some(map) = next {
-            // What travels is the rounded difference, and so that is what ranks use.
+            // Ranks receive the map as a delta with rounded shares, so the delta is applied here.
             let delta = self.map.delta_to(&map);
             let map = self.map.apply_delta(&delta).unwrap_or(map);
             map.assert_valid();
@@ -322,7 +323,7 @@
         }
     }
 
-    /// Gets the rank that is loading weights now.
+    /// Gets the rank that currently loads weights.
     fn loading_rank(&self) -> Option<Rank> {
         let loading = self.loading.as_ref()?;
         let left = (loading.left_ms / self.setup.move_ms).ceil() as usize;
@@ -343,9 +344,9 @@
     }
 
     fn switch_if_due(&mut self, step: Step) {
-        let due = |l: &mut Loading| l.switch_at.is_some_and(|at| step >= at);
+        let is_due = |l: &mut Loading| l.switch_at.is_some_and(|at| step >= at);
 
-        if let Some(loading) = self.loading.take_if(due) {
+        if let Some(loading) = self.loading.take_if(is_due) {
             self.map = loading.map;
             self.switches += 1;
         }
@@ -359,7 +360,7 @@
 
         let setup = self.setup;
         let move_cost_ms = self.moves as f64 * setup.move_ms;
-        let weighed = self.skew_cost_ms * f64::from(setup.profile.skew_weight)
+        let weighted_ms = self.skew_cost_ms * f64::from(setup.profile.skew_weight)
             + move_cost_ms * f64::from(setup.profile.cost_weight);
 
         Report {
@@ -374,11 +375,11 @@
             late_moves: self.late_moves,
             switches: self.switches,
             changed_experts: self.changed_experts,
-            disturbed_rank_steps: self.disturbed,
+            disturbed_rank_steps: self.disturbed_rank_steps,
             plan_ms_max: self.plan_ms_max,
             skew_cost_ms: self.skew_cost_ms,
             move_cost_ms,
-            total_cost: weighed * 1000.0 / setup.steps as f64,
+            total_cost: weighted_ms * 1000.0 / setup.steps as f64,
         }
     }
 }
--- a/grebedeck-lab/src/balance/trace.rs
+++ b/grebedeck-lab/src/balance/trace.rs
@@ -1,26 +1,26 @@
-//! Traces of popularity.
+//! Synthetic traces of the popularity of experts.
 
 use grebedeck_core::{RandomSource, Step, random::SeededSource};
 
-/// How popularity changes.
+/// Kind of change of the popularity.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TraceKind {
-    /// It does not.
+    /// No change.
     Steady,
-    /// Every expert drifts on its own.
+    /// Independent random drift of every expert.
     Slow,
-    /// Groups of experts rise and fall together over a day.
+    /// Groups of experts rise and fall together over a period, as over a day.
     Topic,
-    /// A few experts become popular at once, and are forgotten over a while.
+    /// A few experts suddenly become popular, and their popularity decays.
     Launch,
-    /// Two patterns alternate.
+    /// Two distributions alternate.
     Flip,
-    /// Popularity is steady, and one rank is slow for a while.
+    /// Popularity does not change, and one rank is slow in every second half period.
     Stall,
 }
 
 impl TraceKind {
-    /// All kinds, in the order of reports.
+    /// All kinds, in the order of the printed results.
     pub const ALL: [TraceKind; 6] = [
         TraceKind::Steady,
         TraceKind::Slow,
@@ -30,7 +30,7 @@
         TraceKind::Stall,
     ];
 
-    /// Gets the kind's name.
+    /// Gets the kind's name in options and printed results.
     pub fn name(self) -> &'static str {
         match self {
             TraceKind::Steady => "steady",
@@ -48,46 +48,45 @@
     }
 }
 
-/// Shape of a trace.
+/// Parameters of a trace.
 #[derive(Clone, Copy, Debug)]
 pub struct TraceOptions {
-    /// Experts of a layer.
+    /// Experts per layer.
     pub experts: usize,
-    /// Layers.
+    /// Number of layers.
     pub layers: usize,
-    /// Ranks, for a stall.
+    /// Number of ranks, of which `Stall` slows one.
     pub ranks: usize,
-    /// Period of `flip` and of `topic`, and mean time between launches.
+    /// Period of `Topic`, `Flip` and `Stall`, and mean time between launches.
     pub period_steps: Step,
 }
 
-/// How often popularity is drawn anew.
+/// Interval of updates of the popularity.
 pub const TICK_STEPS: Step = 50;
 
-/// Number of topics.
 const TOPICS: usize = 6;
-/// Exponent of the distribution of popularity over experts.
-const ZIPF: f64 = 0.7;
-/// How much an expert's log-popularity drifts in a tick.
-const DRIFT: f64 = 0.012;
-/// How much more popular a launched expert becomes.
-const LAUNCH_FACTOR: f64 = 12.0;
-/// Part of a launch that is left after a tick.
+/// Exponent of the Zipf distribution of popularity over experts.
+const ZIPF_EXPONENT: f64 = 0.7;
+/// Standard deviation of the change of an expert's log-popularity per update.
+const DRIFT_SIGMA: f64 = 0.012;
+/// Popularity that a launch adds to an expert, as a multiple of its base popularity.
+const LAUNCH_BOOST: f64 = 12.0;
+/// Fraction of a launch's popularity that remains after an update.
 const LAUNCH_DECAY: f64 = 0.985;
-/// Experts of a layer that a launch makes popular.
-const LAUNCHED: usize = 3;
-/// Slowness of a stalled rank.
-const STALL_FACTOR: f32 = 1.6;
+/// Experts per layer that a launch makes popular.
+const LAUNCHED_EXPERTS: usize = 3;
+/// Factor by which a stalled rank is slower.
+const STALL_SLOWDOWN: f32 = 1.6;
 
-/// A trace as it unfolds.
+/// Generator of a trace.
 pub struct Trace {
     kind: TraceKind,
     options: TraceOptions,
     random: SeededSource,
     base: Vec<Vec<f64>>,
-    other: Vec<Vec<f64>>,
-    topics: Vec<Vec<usize>>,
-    launched: Vec<Vec<f64>>,
+    alternate: Vec<Vec<f64>>,
+    topic_of_expert: Vec<Vec<usize>>,
+    boosts: Vec<Vec<f64>>,
     next_launch: Step,
     last_launch: Step,
 }
@@ -99,23 +98,33 @@
         let mut zipf = || -> Vec<Vec<f64>> {
             (0..options.layers).map(|_| draw_zipf(options.experts, &mut random)).collect()
         };
-        let (base, other) = (zipf(), zipf());
+        let (base, alternate) = (zipf(), zipf());
         let topic = |random: &mut SeededSource| {
             (0..options.experts).map(|_| random.below(TOPICS)).collect::<Vec<_>>()
         };
-        let topics = (0..options.layers).map(|_| topic(&mut random)).collect();
-        let launched = vec![vec![0.0; options.experts]; options.layers];
+        let topic_of_expert = (0..options.layers).map(|_| topic(&mut random)).collect();
+        let boosts = vec![vec![0.0; options.experts]; options.layers];
         let next_launch = options.period_steps / 2;
 
-        Trace { kind, options, random, base, other, topics, launched, next_launch, last_launch: 0 }
+        Trace {
+            kind,
+            options,
+            random,
+            base,
+            alternate,
+            topic_of_expert,
+            boosts,
+            next_launch,
+            last_launch: 0,
+        }
     }
 
-    /// Gets the step of the last sharp swing; 0 where there was none.
+    /// Gets the step of the last launch, or 0 before the first.
     pub fn last_launch(&self) -> Step {
         self.last_launch
     }
 
-    /// Moves on to a step that is a multiple of [`TICK_STEPS`]; gives each layer's fractions.
+    /// Advances to a step that is a multiple of [`TICK_STEPS`] and gets each layer's fractions.
     pub fn advance(&mut self, step: Step) -> Vec<Vec<f32>> {
         match self.kind {
             TraceKind::Slow => self.drift(),
@@ -127,14 +136,14 @@
         layers.map(|layer| normalise(&self.weights(layer, step))).collect()
     }
 
-    /// Gets how slow each rank is at a step.
+    /// Gets the slowdown of each rank at a step.
     pub fn rank_costs(&self, step: Step) -> Vec<f32> {
         let mut costs = vec![1.0; self.options.ranks];
         let period = self.options.period_steps;
-        let stalled = self.kind == TraceKind::Stall && (step / (period / 2).max(1)) % 2 == 1;
+        let is_stalled = self.kind == TraceKind::Stall && (step / (period / 2).max(1)) % 2 == 1;
 
-        if stalled {
-            costs[(step / period) as usize % self.options.ranks] = STALL_FACTOR;
+        if is_stalled {
+            costs[(step / period) as usize % self.options.ranks] = STALL_SLOWDOWN;
         }
 
         costs
@@ -146,11 +155,11 @@
 
         match self.kind {
             TraceKind::Steady | TraceKind::Slow | TraceKind::Stall => base.clone(),
-            TraceKind::Flip if (step / period) % 2 == 1 => self.other[layer].clone(),
+            TraceKind::Flip if (step / period) % 2 == 1 => self.alternate[layer].clone(),
             TraceKind::Flip => base.clone(),
             TraceKind::Launch => {
-                let launched = &self.launched[layer];
-                base.iter().zip(launched).map(|(b, l)| b * (1.0 + l)).collect()
+                let boosts = &self.boosts[layer];
+                base.iter().zip(boosts).map(|(b, l)| b * (1.0 + l)).collect()
             }
             TraceKind::Topic => {
                 let phase = step as f64 / period as f64 * std::f64::consts::TAU;
@@ -158,7 +167,7 @@
                     let shift = t as f64 / TOPICS as f64 * std::f64::consts::TAU;
                     (1.2 * (phase + shift).sin()).exp()
                 };
-                base.iter().zip(&self.topics[layer]).map(|(b, t)| b * topic(*t)).collect()
+                base.iter().zip(&self.topic_of_expert[layer]).map(|(b, t)| b * topic(*t)).collect()
             }
         }
     }
@@ -166,13 +175,13 @@
     fn drift(&mut self) {
         for layer in &mut self.base {
             for weight in layer {
-                *weight *= (DRIFT * normal(&mut self.random)).exp();
+                *weight *= (DRIFT_SIGMA * normal(&mut self.random)).exp();
             }
         }
     }
 
     fn launch(&mut self, step: Step) {
-        self.launched.iter_mut().flatten().for_each(|l| *l *= LAUNCH_DECAY);
+        self.boosts.iter_mut().flatten().for_each(|l| *l *= LAUNCH_DECAY);
 
         if step < self.next_launch {
             return;
@@ -182,17 +191,17 @@
         let wait = (self.options.period_steps as f64 * (0.5 + self.random.unit())) as Step;
         self.next_launch = step + wait.max(TICK_STEPS);
 
-        for layer in &mut self.launched {
-            for _ in 0..LAUNCHED {
+        for layer in &mut self.boosts {
+            for _ in 0..LAUNCHED_EXPERTS {
                 let expert = self.random.below(layer.len());
-                layer[expert] = LAUNCH_FACTOR;
+                layer[expert] = LAUNCH_BOOST;
             }
         }
     }
 }
 
 fn draw_zipf(experts: usize, random: &mut SeededSource) -> Vec<f64> {
-    let mut weights: Vec<f64> = (1..=experts).map(|n| (n as f64).powf(-ZIPF)).collect();
+    let mut weights: Vec<f64> = (1..=experts).map(|n| (n as f64).powf(-ZIPF_EXPONENT)).collect();
 
     for at in (1..weights.len()).rev() {
         weights.swap(at, random.below(at + 1));
