--- a/grebedeck-lab/src/losses.rs
+++ b/grebedeck-lab/src/losses.rs
@@ -1,8 +1,8 @@
 //! Causes of late, refused and failed requests, from the logs of gateways and rank processes.
 //!
-//! Each late stream and each refused or failed request is attributed to one cause: an event that was
-//! in progress during its longest pause, or the reason why it got no slot. Times are the timestamps
-//! of the log lines, so the clocks of the machines must agree within a few milliseconds.
+//! Each late stream and each refused or failed request is attributed to one cause: an event in
+//! progress during its longest pause, or the reason why it got no slot. Times are the timestamps of
+//! the log lines, so the clocks of the machines must agree within a few milliseconds.
 
 use std::collections::{BTreeMap, HashMap};
 
--- a/grebedeck-lab/src/routing.rs
+++ b/grebedeck-lab/src/routing.rs
@@ -1,8 +1,8 @@
-//! A model of many entries that choose among targets, in virtual time.
+//! Simulation of many entries that select targets, in virtual time, to compare selection policies.
 //!
-//! A target runs as many requests at the same time as it has places, and the others wait in line.
-//! Entries see their own requests at once, and everybody's only in reports that are old. The
-//! product's own [`Chooser`] decides for the policy `ours`. There is no model of a network.
+//! A target runs as many requests concurrently as it has slots; further requests wait in its queue.
+//! An entry knows its own requests at once and the total load only from delayed reports. The policy
+//! `ours` is grebedeck's [`Chooser`] with its [`Admission`]. Network latency is not modelled.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
@@ -17,25 +17,25 @@
 
 use crate::balance::trace::normal;
 
-/// How a target is chosen.
+/// Policy for the selection of a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SelectionPolicy {
-    /// Any.
+    /// Uniformly random target.
     Random,
-    /// One after another, each entry for itself.
+    /// Round robin, separately in each entry.
     RoundRobin,
-    /// The one with the least load in the last report.
+    /// Target with the lowest load in the last report.
     LeastReported,
-    /// The less loaded of two, by the last report.
+    /// Less loaded of two random targets, by the last report.
     TwoChoices,
-    /// The product's own.
+    /// Grebedeck's [`Chooser`].
     Ours,
-    /// The shortest queue, known without lag.
+    /// Target with the lowest current load, known without delay.
     Omniscient,
 }
 
 impl SelectionPolicy {
-    /// All policies, in the order of reports.
+    /// All policies, in the order of the printed results.
     pub const ALL: [SelectionPolicy; 6] = [
         SelectionPolicy::Random,
         SelectionPolicy::RoundRobin,
@@ -45,7 +45,7 @@
         SelectionPolicy::Omniscient,
     ];
 
-    /// Gets the policy's name.
+    /// Gets the policy's name in printed results.
     pub fn name(self) -> &'static str {
         match self {
             SelectionPolicy::Random => "random",
@@ -58,30 +58,30 @@
     }
 }
 
-/// Parameters of the model.
+/// Parameters of the simulation.
 #[derive(Clone, Debug)]
 pub struct Setup {
-    /// Entries.
+    /// Number of entries.
     pub entries: usize,
-    /// Targets.
+    /// Number of targets.
     pub targets: usize,
-    /// Places of each target.
+    /// Slots of each target.
     pub slots: usize,
-    /// Offered load, as a part of all places.
+    /// Offered load, as a fraction of all slots.
     pub load: f64,
-    /// Organisations; the first is the loud one.
+    /// Number of organisations; the first is the noisy neighbour.
     pub organisations: usize,
-    /// Part of the requests that the loud organisation sends.
+    /// Fraction of the requests that the noisy organisation sends.
     pub noisy_share: f64,
-    /// Age of reports when they arrive, and time between two of them.
+    /// Age of load reports on arrival, and interval between two of them.
     pub report_lag: Duration,
-    /// Mean time of a request in its place.
+    /// Mean time that a request occupies its slot.
     pub mean_service_time: Duration,
-    /// Spread of that time: the deviation of its logarithm.
+    /// Standard deviation of the logarithm of that time.
     pub service_time_sigma: f64,
-    /// Time of a run.
+    /// Virtual duration of a run.
     pub duration: Duration,
-    /// Settings of the product's choice.
+    /// Options of grebedeck's chooser.
     pub chooser: ChooserOptions,
 }
 
@@ -96,26 +96,25 @@
     pub p99: f64,
     /// Mean.
     pub mean: f64,
-    /// Attempts for each request.
+    /// Mean number of attempts per request; 0 for policies other than `ours`.
     pub attempts: f64,
-    /// Work done, as a part of what all places can do.
+    /// Work done, as a fraction of the capacity of all slots.
     pub goodput: f64,
-    /// 99th percentile of the wait of organisations that are not loud.
+    /// 99th percentile of the waits of all organisations but the noisy one.
     pub small_p99: f64,
-    /// Part of the requests of organisations that are not loud that were refused.
+    /// Fraction of refused requests of all organisations but the noisy one.
     pub small_refused: f64,
 }
 
-/// A request's way through the model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Request {
     entry: usize,
     organisation: usize,
-    arrived: Us,
+    arrived: Micros,
 }
 
-/// Time in microseconds.
-type Us = u64;
+/// Virtual time in microseconds.
+type Micros = u64;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
@@ -136,8 +135,8 @@
     }
 }
 
-/// How many may wait in a target, in multiples of its places.
-const QUEUE_OF_PLACES: usize = 1;
+/// Length of a target's queue, as a multiple of its slots.
+const QUEUE_PER_SLOT: usize = 1;
 
 fn organisation_name(organisation: usize) -> String {
     format!("organisation-{organisation}")
@@ -145,28 +144,29 @@
 
 struct Sim<'a> {
     setup: &'a Setup,
-    choice: SelectionPolicy,
+    policy: SelectionPolicy,
     routes: Vec<Arc<Route>>,
     targets: Vec<Target>,
     choosers: Vec<Chooser>,
     admissions: Vec<Admission>,
-    turns: Vec<usize>,
-    /// Loads as entries see them, and those that are on their way.
+    next_round_robin: Vec<usize>,
+    /// Loads by the last report that arrived.
     reported: Vec<usize>,
+    /// Reports that have not arrived yet.
     reports_sent: VecDeque<Vec<usize>>,
-    events: BinaryHeap<Reverse<(Us, Event)>>,
+    events: BinaryHeap<Reverse<(Micros, Event)>>,
     random: SeededSource,
     waits_ms: Vec<f64>,
-    small_waits_ms: Vec<f64>,
-    small: u64,
-    small_refused: u64,
+    others_waits_ms: Vec<f64>,
+    others_requests: u64,
+    others_refused: u64,
     work_us: f64,
     first_attempts: u64,
     attempts: u64,
 }
 
-/// Runs a policy; the same seed gives the same arrivals.
-pub fn run(choice: SelectionPolicy, setup: &Setup, seed: u64) -> RunReport {
+/// Simulates a policy; a seed makes a run repeatable.
+pub fn run(policy: SelectionPolicy, setup: &Setup, seed: u64) -> RunReport {
     let route = |n: usize| Route {
         name: format!("target-{n:03}"),
         hall: "hall".to_string(),
@@ -175,37 +175,37 @@
         ranks: Vec::new(),
         checks_orders: false,
     };
-    let chooser = || Chooser::new("hall", setup.chooser.clone());
+    let new_chooser = || Chooser::new("hall", setup.chooser.clone());
     let mut random = SeededSource::new(seed);
-    let turns = (0..setup.entries).map(|_| random.below(setup.targets)).collect();
+    let next_round_robin = (0..setup.entries).map(|_| random.below(setup.targets)).collect();
     let mut sim = Sim {
         setup,
-        choice,
+        policy,
         routes: (0..setup.targets).map(route).map(Arc::new).collect(),
         targets: vec![Target::default(); setup.targets],
-        choosers: (0..setup.entries).map(|_| chooser()).collect(),
+        choosers: (0..setup.entries).map(|_| new_chooser()).collect(),
         admissions: (0..setup.entries).map(|_| Admission::new(Default::default())).collect(),
-        turns,
+        next_round_robin,
         reported: vec![0; setup.targets],
         reports_sent: VecDeque::new(),
         events: BinaryHeap::from([Reverse((0, Event::Arrival)), Reverse((0, Event::Report))]),
         random,
         waits_ms: Vec::new(),
-        small_waits_ms: Vec::new(),
-        small: 0,
-        small_refused: 0,
+        others_waits_ms: Vec::new(),
+        others_requests: 0,
+        others_refused: 0,
         work_us: 0.0,
         first_attempts: 0,
         attempts: 0,
     };
 
     sim.run();
-    sim.waits()
+    sim.into_report()
 }
 
 impl Sim<'_> {
     fn run(&mut self) {
-        let until = self.setup.duration.as_micros() as Us;
+        let until = self.setup.duration.as_micros() as Micros;
 
         while let Some(Reverse((now, event))) = self.events.pop() {
             if now > until {
@@ -213,43 +213,44 @@
             }
 
             match event {
-                Event::Arrival => self.arrive(now),
-                Event::Report => self.report(now),
-                Event::End { target, request } => self.end(target, request, now),
+                Event::Arrival => self.on_arrival(now),
+                Event::Report => self.send_report(now),
+                Event::End { target, request } => self.end_service(target, request, now),
             }
         }
     }
 
-    fn arrive(&mut self, now: Us) {
+    fn on_arrival(&mut self, now: Micros) {
         let entry = self.random.below(self.setup.entries);
-        let is_loud = self.random.unit() < self.setup.noisy_share;
+        let is_noisy = self.random.unit() < self.setup.noisy_share;
         let others = self.setup.organisations.saturating_sub(1);
-        let organisation = if is_loud || others == 0 { 0 } else { 1 + self.random.below(others) };
+        let organisation = if is_noisy || others == 0 { 0 } else { 1 + self.random.below(others) };
         let request = Request { entry, organisation, arrived: now };
-        self.small += u64::from(organisation > 0);
+        self.others_requests += u64::from(organisation > 0);
 
-        if !self.admit(request, now) {
-            self.small_refused += u64::from(organisation > 0);
+        if !self.submit(request, now) {
+            self.others_refused += u64::from(organisation > 0);
         }
 
         let places = (self.setup.targets * self.setup.slots) as f64;
         let rate = places * self.setup.load / self.setup.mean_service_time.as_secs_f64();
         let gap_s = -(1.0 - self.random.unit()).ln() / rate;
-        self.events.push(Reverse((now + (gap_s * 1e6) as Us, Event::Arrival)));
+        self.events.push(Reverse((now + (gap_s * 1e6) as Micros, Event::Arrival)));
     }
 
-    /// Gives a request to a target; tells whether there was room for it.
-    fn admit(&mut self, request: Request, now: Us) -> bool {
-        let (entry, ours) = (request.entry, self.choice == SelectionPolicy::Ours);
+    /// Sends a request to a target; returns whether it was accepted.
+    fn submit(&mut self, request: Request, now: Micros) -> bool {
+        let (entry, ours) = (request.entry, self.policy == SelectionPolicy::Ours);
 
-        if ours && !self.enter(request, now) {
+        if ours && !self.admit(request, now) {
             return false;
         }
 
-        let at = if ours { self.dispatch(entry, now) } else { self.choose(entry, &[], now) };
-        let room = self.setup.slots * (1 + QUEUE_OF_PLACES);
+        let at =
+            if ours { self.choose_with_retries(entry, now) } else { self.choose(entry, &[], now) };
+        let capacity = self.setup.slots * (1 + QUEUE_PER_SLOT);
 
-        if self.targets[at].load() >= room {
+        if self.targets[at].load() >= capacity {
             self.admissions[entry].leave(&organisation_name(request.organisation));
             let report = self.load_report(self.targets[at].load());
             let name = &self.routes[at].name;
@@ -260,7 +261,7 @@
         self.choosers[entry].record_sent(&self.routes[at].name);
 
         if self.targets[at].busy < self.setup.slots {
-            self.begin(at, request, now);
+            self.begin_service(at, request, now);
         } else {
             self.targets[at].waiting.push_back(request);
         }
@@ -268,18 +269,20 @@
         true
     }
 
-    fn enter(&mut self, request: Request, now: Us) -> bool {
+    fn admit(&mut self, request: Request, now: Micros) -> bool {
         let now = Duration::from_micros(now);
-        let crowded = self.choosers[request.entry].is_crowded(&self.routes, now);
+        let is_crowded = self.choosers[request.entry].is_crowded(&self.routes, now);
         let name = organisation_name(request.organisation);
 
-        self.admissions[request.entry].enter(&name, crowded).is_ok()
+        self.admissions[request.entry].enter(&name, is_crowded).is_ok()
     }
 
-    /// Tries targets as an entry does: a full one refuses, unless the request may wait there.
-    fn dispatch(&mut self, entry: usize, now: Us) -> usize {
+    /// Selects a target as an entry does. A target without a free slot refuses the request, unless
+    /// this is the last attempt or no other target is expected to have a free slot; then the
+    /// request may wait.
+    fn choose_with_retries(&mut self, entry: usize, now: Micros) -> usize {
         let mut tried = Vec::new();
-        let at_time = Duration::from_micros(now);
+        let time = Duration::from_micros(now);
         self.first_attempts += 1;
 
         loop {
@@ -289,7 +292,7 @@
 
             let chooser = &mut self.choosers[entry];
             let may_wait = tried.len() >= MAX_ATTEMPTS as usize
-                || !chooser.expects_free_slot(&self.routes, &tried, at_time);
+                || !chooser.expects_free_slot(&self.routes, &tried, time);
 
             if may_wait || self.targets[at].busy < self.setup.slots {
                 return at;
@@ -300,41 +303,41 @@
                 waiting: 0,
                 slots: self.setup.slots as u32,
             };
-            chooser.record_report(&self.routes[at].name, report, at_time);
+            chooser.record_report(&self.routes[at].name, report, time);
         }
     }
 
-    fn begin(&mut self, at: usize, request: Request, now: Us) {
+    fn begin_service(&mut self, at: usize, request: Request, now: Micros) {
         self.targets[at].busy += 1;
 
-        // The first tenth fills the targets and is not counted.
-        if request.arrived > self.setup.duration.as_micros() as Us / 10 {
+        // The first tenth of the run fills the targets and is not counted.
+        if request.arrived > self.setup.duration.as_micros() as Micros / 10 {
             let wait_ms = (now - request.arrived) as f64 / 1e3;
             self.waits_ms.push(wait_ms);
 
             if request.organisation > 0 {
-                self.small_waits_ms.push(wait_ms);
+                self.others_waits_ms.push(wait_ms);
             }
         }
 
         let tail = self.setup.service_time_sigma;
         let factor = (tail * normal(&mut self.random) - tail * tail / 2.0).exp();
-        let took = (self.setup.mean_service_time.as_secs_f64() * factor * 1e6) as Us;
-        let until = self.setup.duration.as_micros() as Us;
-        self.work_us += (now + took).min(until).saturating_sub(now) as f64;
-        self.events.push(Reverse((now + took.max(1), Event::End { target: at, request })));
+        let took_us = (self.setup.mean_service_time.as_secs_f64() * factor * 1e6) as Micros;
+        let until = self.setup.duration.as_micros() as Micros;
+        self.work_us += (now + took_us).min(until).saturating_sub(now) as f64;
+        self.events.push(Reverse((now + took_us.max(1), Event::End { target: at, request })));
     }
 
-    fn end(&mut self, at: usize, request: Request, now: Us) {
+    fn end_service(&mut self, at: usize, request: Request, now: Micros) {
         self.targets[at].busy -= 1;
         let entry = request.entry;
         self.admissions[entry].leave(&organisation_name(request.organisation));
 
         if let Some(next) = self.targets[at].waiting.pop_front() {
-            self.begin(at, next, now);
+            self.begin_service(at, next, now);
         }
 
-        // The end of an answer carries the target's load, as it does between real processes.
+        // The end of an answer carries the target's load, as it does between agent and entry.
         let report = self.load_report(self.targets[at].load());
         let (name, now) = (&self.routes[at].name, Duration::from_micros(now));
         self.choosers[entry].record_end(name, Some(true), now);
@@ -345,9 +348,9 @@
         LoadReport { in_flight: load as u32, waiting: 0, slots: self.setup.slots as u32 }
     }
 
-    /// Sends everybody's loads to all entries; they arrive one lag later. `ours` has no use for
-    /// them: it goes by what the ends of answers say.
-    fn report(&mut self, now: Us) {
+    /// Sends the loads of all targets to all entries, where they arrive one `report_lag` later.
+    /// `ours` ignores them and uses the loads at the ends of answers.
+    fn send_report(&mut self, now: Micros) {
         self.reports_sent.push_back(self.targets.iter().map(Target::load).collect());
 
         if self.reports_sent.len() > 1
@@ -356,51 +359,51 @@
             self.reported = arrived;
         }
 
-        let next = now + self.setup.report_lag.as_micros() as Us;
+        let next = now + self.setup.report_lag.as_micros() as Micros;
         self.events.push(Reverse((next.max(now + 1), Event::Report)));
     }
 
-    fn choose(&mut self, entry: usize, tried: &[TargetName], now: Us) -> usize {
+    fn choose(&mut self, entry: usize, tried: &[TargetName], now: Micros) -> usize {
         let count = self.setup.targets;
 
-        match self.choice {
+        match self.policy {
             SelectionPolicy::Random => self.random.below(count),
             SelectionPolicy::RoundRobin => {
-                self.turns[entry] = (self.turns[entry] + 1) % count;
-                self.turns[entry]
+                self.next_round_robin[entry] = (self.next_round_robin[entry] + 1) % count;
+                self.next_round_robin[entry]
             }
             SelectionPolicy::LeastReported => {
-                self.least((0..count).collect(), |s, t| s.reported[t])
+                self.least_loaded((0..count).collect(), |s, t| s.reported[t])
             }
             SelectionPolicy::TwoChoices => {
                 let two = vec![self.random.below(count), self.random.below(count)];
-                self.least(two, |s, t| s.reported[t])
+                self.least_loaded(two, |s, t| s.reported[t])
             }
             SelectionPolicy::Omniscient => {
-                self.least((0..count).collect(), |s, t| s.targets[t].load())
+                self.least_loaded((0..count).collect(), |s, t| s.targets[t].load())
             }
             SelectionPolicy::Ours => {
                 let now = Duration::from_micros(now);
                 let chosen =
                     self.choosers[entry].choose(&self.routes, tried, now, &mut self.random);
-                let name = &chosen.expect("there are targets").name;
+                let name = &chosen.expect("at least one target").name;
                 self.routes.iter().position(|r| r.name == *name).unwrap_or(0)
             }
         }
     }
 
-    /// Gets the target with the least load; equals are drawn.
-    fn least(&mut self, among: Vec<usize>, load: impl Fn(&Self, usize) -> usize) -> usize {
+    /// Gets the target with the lowest load, with random selection among equal ones.
+    fn least_loaded(&mut self, among: Vec<usize>, load: impl Fn(&Self, usize) -> usize) -> usize {
         let lowest = among.iter().map(|t| load(self, *t)).min().unwrap_or(0);
         let lowest: Vec<usize> = among.into_iter().filter(|t| load(self, *t) == lowest).collect();
 
         lowest[self.random.below(lowest.len())]
     }
 
-    fn waits(mut self) -> RunReport {
+    fn into_report(mut self) -> RunReport {
         self.waits_ms.sort_by(f64::total_cmp);
-        self.small_waits_ms.sort_by(f64::total_cmp);
-        let small_at = (self.small_waits_ms.len() as f64 * 0.99) as usize;
+        self.others_waits_ms.sort_by(f64::total_cmp);
+        let others_p99_index = (self.others_waits_ms.len() as f64 * 0.99) as usize;
         let capacity_us =
             (self.setup.targets * self.setup.slots) as f64 * self.setup.duration.as_micros() as f64;
         let count = self.waits_ms.len().max(1);
@@ -414,8 +417,8 @@
             p99: at(0.99),
             mean: self.waits_ms.iter().sum::<f64>() / count as f64,
             goodput: self.work_us / capacity_us,
-            small_p99: self.small_waits_ms.get(small_at).copied().unwrap_or(0.0),
-            small_refused: self.small_refused as f64 / self.small.max(1) as f64,
+            small_p99: self.others_waits_ms.get(others_p99_index).copied().unwrap_or(0.0),
+            small_refused: self.others_refused as f64 / self.others_requests.max(1) as f64,
             attempts: self.attempts as f64 / self.first_attempts.max(1) as f64,
         }
     }
