--- a/grebedeck-lab/examples/local-site.rs
+++ b/grebedeck-lab/examples/local-site.rs
@@ -1,4 +1,4 @@
-//! A whole site on loopback, to try grebedeck out.
+//! Runs a complete site on loopback to try out grebedeck.
 
 use std::time::Duration;
 
@@ -7,14 +7,14 @@
 use grebedeck_lab::site::{Site, SiteOptions};
 use serde_json::json;
 
-/// Runs a whole site on loopback until Ctrl-C.
+/// Run a complete site on loopback until Ctrl-C.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options)]
 struct Options {
-    /// Port of the first entry; further entries follow it (any free ones where left out)
+    /// Port of the first entry; further entries use the ports after it (default: any free ports)
     #[bpaf(long, argument("PORT"), fallback(0))]
     entry_port: u16,
-    /// Operator port of the first entry (any free one where left out)
+    /// Operator port of the first entry (default: any free port)
     #[bpaf(long, argument("PORT"), fallback(0))]
     operator_port: u16,
     /// Seed of the stand-ins
@@ -51,31 +51,31 @@
             "organisations": ["northwind", "fabrikam", "contoso"],
         })
     );
-    print_tour(entries[0], operator);
+    print_examples(entries[0], operator);
 
     grebedeck::stop::wait_for_signal().await?;
     eprintln!("stopping");
 
-    // A caller that never ends its stream must not keep the demonstration from stopping.
+    // An endless stream of a caller must not keep the site from stopping.
     let _ = async_std::future::timeout(Duration::from_secs(15), site.stop()).await;
     Ok(())
 }
 
-fn print_tour(entry: std::net::SocketAddr, operator: std::net::SocketAddr) {
+fn print_examples(entry: std::net::SocketAddr, operator: std::net::SocketAddr) {
     println!(
         "
-# A streamed answer from a model group, one event per step:
+# Streamed answer from a model group, one event per step:
 curl -N -H 'grebedeck-organisation: northwind' -H 'grebedeck-service: summary' 'http://{entry}/generate?tokens=20'
 
-# A whole answer from a plain target:
+# Single answer from a plain target:
 curl -i -H 'grebedeck-organisation: contoso' -H 'grebedeck-service: roster' http://{entry}/members/7
 
-# contoso may not use the model; a change of selectors lets it, and the next request shows it:
+# contoso has no access to the model; a changed selector gives it access:
 curl -i -H 'grebedeck-organisation: contoso' -H 'grebedeck-service: summary' http://{entry}/generate
 cargo run --release --bin grebedeck -- apply --operator {operator} -f docs/examples/let-bronze-in.json --wait
 curl -N -H 'grebedeck-organisation: contoso' -H 'grebedeck-service: summary' http://{entry}/generate
 
-# The state of the first entry:
+# State of the first entry:
 cargo run --release --bin grebedeck -- dump --operator {operator}
 
 # Ctrl-C stops the site."
--- a/grebedeck-lab/src/caller.rs
+++ b/grebedeck-lab/src/caller.rs
@@ -1,4 +1,4 @@
-//! A caller of a site, for tests and measurements.
+//! Caller of a service, for tests and measurements.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,7 +8,7 @@
 use grebedeck_net::http::client::{Answer, SendError};
 use http_types::{Method, Request, Url};
 
-/// A caller with its own kept connection.
+/// Caller on behalf of one organisation, with a keep-alive connection.
 #[derive(Clone)]
 pub struct Caller {
     client: HttpClient,
@@ -16,14 +16,14 @@
     service: String,
 }
 
-/// An answer that was read whole.
+/// Answer with its complete body.
 #[derive(Clone, Debug)]
 pub struct CallerAnswer {
     /// HTTP status.
     pub status: u16,
-    /// What the outcome header says.
+    /// Value of the outcome header.
     pub outcome: String,
-    /// The body.
+    /// Body.
     pub body: Vec<u8>,
 }
 
@@ -34,11 +34,11 @@
     }
 }
 
-/// Largest body that a caller reads, in bytes.
+/// Maximum size of an answer's body.
 const MAX_BODY_BYTES: usize = 64 << 20;
 
 impl Caller {
-    /// Makes a caller of an organisation.
+    /// Creates a caller that sends to an entry.
     pub fn new(entry: SocketAddr, organisation: &str, service: &str) -> Self {
         Caller {
             client: HttpClient::new(entry, Duration::from_secs(5)),
@@ -47,10 +47,10 @@
         }
     }
 
-    /// Makes a request with the caller's headers.
+    /// Creates a request with the headers of the organisation and service.
     pub fn request(&self, method: Method, path: &str) -> Request {
         let url = Url::parse(&format!("http://{}{path}", self.client.address()));
-        let mut request = Request::new(method, url.expect("a path makes a URL"));
+        let mut request = Request::new(method, url.expect("valid path"));
         request.insert_header("grebedeck-organisation", self.organisation.as_str());
         request.insert_header("grebedeck-service", self.service.as_str());
 
@@ -62,7 +62,7 @@
         self.client.send(request).await.map_err(SendError::into_error)
     }
 
-    /// Sends a request and reads the whole answer; a cut one is an error.
+    /// Sends a request and reads the complete answer; a truncated answer is an error.
     pub async fn send(&self, request: Request) -> Result<CallerAnswer> {
         let answer = self.begin(request).await?;
         let status = answer.response.status() as u16;
@@ -70,15 +70,15 @@
         let expected = answer.response.len();
         let body = answer.read_all(MAX_BODY_BYTES).await?;
 
-        // The library takes a connection that closes early for the end of the body.
+        // The HTTP library treats an early close of the connection as the end of the body.
         if expected.is_some_and(|len| len != body.len()) {
-            return grebedeck_core::error::protocol_error("the answer was cut");
+            return grebedeck_core::error::protocol_error("the answer was truncated");
         }
 
         Ok(CallerAnswer { status, outcome: outcome.unwrap_or_default(), body })
     }
 
-    /// Gets a path.
+    /// Sends a GET request.
     pub async fn get(&self, path: &str) -> Result<CallerAnswer> {
         self.send(self.request(Method::Get, path)).await
     }
--- a/grebedeck-lab/src/http.rs
+++ b/grebedeck-lab/src/http.rs
@@ -1,4 +1,4 @@
-//! A small HTTP server for stand-ins.
+//! HTTP server of the stand-ins.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -8,15 +8,15 @@
 use grebedeck_net::http::{ServerOptions, serve_http};
 use http_types::{Request, Response};
 
-/// A listening stand-in; it ends when it is stopped.
+/// Running HTTP server.
 pub struct Server {
-    /// Where it listens.
+    /// Address that the server listens on.
     pub address: SocketAddr,
     task: JoinHandle<()>,
 }
 
 impl Server {
-    /// Starts a server on the address; port 0 takes any free one.
+    /// Starts a server on the address; port 0 selects any free port.
     pub async fn start<H, F>(address: SocketAddr, handler: H) -> std::io::Result<Server>
     where
         H: Fn(Request) -> F + Clone + Send + Sync + 'static,
@@ -30,13 +30,13 @@
         Ok(Server { address, task: async_std::task::spawn(serving) })
     }
 
-    /// Stops listening; open connections end with their streams.
+    /// Stops listening. Open connections close with their last stream.
     pub async fn stop(self) {
         self.task.cancel().await;
     }
 }
 
-/// Makes an answer in JSON.
+/// Creates an answer with a JSON body.
 pub fn json_answer<T: serde::Serialize>(status: u16, value: &T) -> Response {
     let mut response = Response::new(status);
     response.set_body(serde_json::to_string(value).unwrap_or_default());
@@ -45,7 +45,7 @@
     response
 }
 
-/// Any free port on loopback.
+/// Gets the loopback address for any free port.
 pub fn any_port() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
--- a/grebedeck-lab/src/model.rs
+++ b/grebedeck-lab/src/model.rs
@@ -1,7 +1,7 @@
-//! Stand-in for a lock-step group: ranks that make each step together, on one expert map.
+//! Stand-in for a lock-step group: the ranks take each step together, on the same expert map.
 //!
-//! All ranks of a group live in one task, which is their step barrier. A step begins only when no
-//! rank is held, and the task stops the process if two ranks would use different maps in it.
+//! All ranks of a group run in one task, which acts as their step barrier. A step begins only if no
+//! rank is held. The task panics if two ranks would use different maps in the same step.
 
 use std::collections::HashMap;
 use std::io;
@@ -19,24 +19,24 @@
 
 use crate::http::{Server, any_port, json_answer};
 
-/// Shape and speed of a group.
+/// Size and speed of a group.
 #[derive(Clone, Debug)]
 pub struct ModelOptions {
     /// Number of ranks.
     pub ranks: Rank,
-    /// Experts of each layer.
+    /// Experts per layer.
     pub experts: u16,
-    /// Layers.
+    /// Number of layers.
     pub layers: Layer,
-    /// Experts of a layer that fit on one rank.
+    /// Experts of one layer that fit on one rank.
     pub slots_per_rank: u16,
-    /// Time of a step without tokens.
+    /// Duration of a step without tokens.
     pub base: Duration,
-    /// Time that all tokens of a step would take on one rank.
+    /// Time that all tokens of a step would take on a single rank.
     pub work: Duration,
-    /// Tokens routed in each layer and step, over all experts.
+    /// Tokens routed per layer and step, over all experts.
     pub tokens_per_step: u32,
-    /// How often the popular experts change; zero for never.
+    /// Interval of changes of the popular experts; zero for no changes.
     pub shift_every: Duration,
 }
 
@@ -64,17 +64,17 @@
 struct RankState {
     hold_at: Option<Step>,
     map: String,
-    /// A map that takes effect at a step.
+    /// Next map and the first step that uses it.
     next_map: Option<(String, Step)>,
     seen_epoch: Epoch,
     streams: Vec<Stream>,
     tokens: Vec<Vec<u64>>,
-    slowed: f32,
+    slowdown: f32,
 }
 
 struct GroupState {
     next_step: Step,
-    held_steps: u64,
+    held_waits: u64,
     popularity: Vec<f32>,
     maps: HashMap<String, ExpertMap>,
     ranks: Vec<RankState>,
@@ -82,49 +82,50 @@
     skew_steps: u64,
 }
 
-/// A group of ranks.
+/// Group of ranks.
 #[derive(Clone)]
 pub struct Model {
     options: ModelOptions,
     state: Arc<Mutex<GroupState>>,
 }
 
-/// What a group measured since it was last asked.
+/// Statistics of a group.
 #[derive(Clone, Copy, Debug)]
 pub struct GroupStats {
-    /// Steps made since the start.
+    /// Steps taken since the start.
     pub steps: Step,
-    /// Times that the group waited for a held rank, in units of a millisecond.
+    /// Time that the group has waited for held ranks since the start, in milliseconds.
     pub held_ms: u64,
-    /// Mean of the slowest rank's time over the ranks' mean, since it was last asked.
+    /// Mean skew since the statistics were last taken: step time of the slowest rank, divided by
+    /// the mean over all ranks.
     pub skew: f64,
 }
 
-/// Name of the map that engines start with.
-const FIRST_MAP: &str = "0.0.0";
-/// Wait while a rank is held.
-const HELD_WAIT: Duration = Duration::from_millis(1);
+/// Version of the map that engines start with.
+const FIRST_MAP_VERSION: &str = "0.0.0";
+/// Poll interval while a rank is held. [`GroupStats::held_ms`] counts these polls.
+const HELD_POLL_INTERVAL: Duration = Duration::from_millis(1);
 
 impl Model {
-    /// Makes a group and starts its steps.
+    /// Creates a group and starts its task.
     pub fn start(options: ModelOptions, seed: u64) -> Model {
-        let first = ExpertMap::spread(
+        let first_map = ExpertMap::spread(
             options.ranks,
             options.experts,
             options.layers,
             options.slots_per_rank,
         );
         let rank = || RankState {
-            map: FIRST_MAP.to_string(),
+            map: FIRST_MAP_VERSION.to_string(),
             tokens: vec![vec![0; options.experts.into()]; options.layers.into()],
-            slowed: 1.0,
+            slowdown: 1.0,
             ..RankState::default()
         };
         let state = GroupState {
             next_step: 0,
-            held_steps: 0,
+            held_waits: 0,
             popularity: vec![1.0 / f32::from(options.experts); options.experts.into()],
-            maps: HashMap::from([(FIRST_MAP.to_string(), first)]),
+            maps: HashMap::from([(FIRST_MAP_VERSION.to_string(), first_map)]),
             ranks: (0..options.ranks).map(|_| rank()).collect(),
             skew_sum: 0.0,
             skew_steps: 0,
@@ -135,7 +136,7 @@
         model
     }
 
-    /// Starts the HTTP server of one rank, for requests and for engine orders.
+    /// Starts the HTTP server of one rank, for requests and engine orders.
     pub async fn serve(&self, rank: Rank) -> io::Result<Server> {
         let model = self.clone();
 
@@ -146,19 +147,19 @@
         .await
     }
 
-    /// Makes one rank slower by a factor.
+    /// Sets the factor by which a rank is slower.
     pub fn set_slowdown(&self, rank: Rank, factor: f32) {
-        self.lock().ranks[usize::from(rank)].slowed = factor;
+        self.lock().ranks[usize::from(rank)].slowdown = factor;
     }
 
-    /// Gets what was measured since the last call.
+    /// Gets the statistics and resets the skew.
     pub fn take_stats(&self) -> GroupStats {
         let mut state = self.lock();
         let skew = state.skew_sum / state.skew_steps.max(1) as f64;
         state.skew_sum = 0.0;
         state.skew_steps = 0;
 
-        GroupStats { steps: state.next_step, held_ms: state.held_steps, skew }
+        GroupStats { steps: state.next_step, held_ms: state.held_waits, skew }
     }
 
     async fn run(self, mut random: SeededSource) {
@@ -170,19 +171,19 @@
                 since_shift = Duration::ZERO;
             }
 
-            let took = self.step(&mut random).unwrap_or(HELD_WAIT);
-            since_shift = since_shift.saturating_add(took);
-            async_std::task::sleep(took).await;
+            let duration = self.try_step(&mut random).unwrap_or(HELD_POLL_INTERVAL);
+            since_shift = since_shift.saturating_add(duration);
+            async_std::task::sleep(duration).await;
         }
     }
 
-    /// Makes one step, or none while a rank is held; gives its time.
-    fn step(&self, random: &mut SeededSource) -> Option<Duration> {
+    /// Takes one step and returns its duration, or `None` while a rank is held.
+    fn try_step(&self, random: &mut SeededSource) -> Option<Duration> {
         let mut state = self.lock();
         let step = state.next_step;
 
         if state.ranks.iter().any(|r| r.hold_at.is_some_and(|at| step >= at)) {
-            state.held_steps += 1;
+            state.held_waits += 1;
             return None;
         }
 
@@ -195,9 +196,9 @@
         let map = state.ranks[0].map.clone();
         assert!(state.ranks.iter().all(|r| r.map == map), "step {step} would run on two maps");
 
-        let took = state.make_step(&map, &self.options, random);
+        let duration = state.run_step(&map, &self.options, random);
         state.next_step += 1;
-        Some(took)
+        Some(duration)
     }
 
     async fn answer(&self, rank: Rank, mut request: Request) -> Response {
@@ -221,7 +222,7 @@
             ranks: vec![rank],
             group_ranks: self.options.ranks,
             slots_per_rank: self.options.slots_per_rank,
-            rank_costs: vec![own.slowed],
+            rank_costs: vec![own.slowdown],
             layers: own.tokens.iter().map(|t| LayerTokens { tokens: t.clone() }).collect(),
         }
     }
@@ -257,7 +258,7 @@
         EngineAnswer { done: true, next_step }
     }
 
-    /// Streams one event per step, as many as the request asks for.
+    /// Streams one event per step, as many as the request's `tokens` parameter says.
     fn generate(&self, rank: Rank, request: &Request) -> Response {
         let tokens_left = request
             .url()
@@ -281,33 +282,33 @@
 }
 
 impl GroupState {
-    fn make_step(
+    fn run_step(
         &mut self,
         map: &str,
         options: &ModelOptions,
         random: &mut SeededSource,
     ) -> Duration {
-        let costs: Vec<f32> = self.ranks.iter().map(|r| r.slowed).collect();
-        let mut worst = 0.0;
+        let costs: Vec<f32> = self.ranks.iter().map(|r| r.slowdown).collect();
+        let mut slowest = 0.0;
         let mut mean = 0.0;
 
         for layer in 0..usize::from(options.layers) {
-            let counts = self.count(layer, options, random);
+            let counts = self.draw_counts(layer, options, random);
             let loads = self.maps[map].layers[layer].rank_loads(&counts, options.ranks);
-            worst += max_rank_time(&loads, &costs);
+            slowest += max_rank_time(&loads, &costs);
             mean += loads.iter().zip(&costs).map(|(l, c)| l * c).sum::<f32>() / loads.len() as f32;
         }
 
-        self.skew_sum += f64::from(worst / mean.max(1e-9));
+        self.skew_sum += f64::from(slowest / mean.max(1e-9));
         self.skew_steps += 1;
         self.emit_tokens();
 
-        let whole = options.tokens_per_step as f32 * f32::from(options.layers);
-        options.base + options.work.mul_f32(worst / whole)
+        let total_tokens = options.tokens_per_step as f32 * f32::from(options.layers);
+        options.base + options.work.mul_f32(slowest / total_tokens)
     }
 
-    /// Draws the tokens of a layer for each expert, and adds them to the ranks' counters.
-    fn count(
+    /// Draws the tokens for each expert of a layer and adds them to the counters of the ranks.
+    fn draw_counts(
         &mut self,
         layer: usize,
         options: &ModelOptions,
@@ -337,14 +338,14 @@
                 let event = format!("data: {{\"step\":{step}}}\n\n").into_bytes();
                 stream.tokens_left = stream.tokens_left.saturating_sub(1);
 
-                // A caller that reads too slowly loses its stream, not the group's step.
+                // A slow reader loses its stream instead of delaying the steps of the group.
                 stream.sender.try_send(Ok(event)).is_ok() && stream.tokens_left > 0
             });
         }
     }
 }
 
-/// Draws fractions with a few popular experts.
+/// Draws the fraction of tokens per expert, with a few popular experts.
 fn draw_popularity(experts: u16, random: &mut SeededSource) -> Vec<f32> {
     let mut weights: Vec<f32> = (1..=experts).map(|n| 1.0 / f32::from(n).powf(0.8)).collect();
 
--- a/grebedeck-lab/src/plain.rs
+++ b/grebedeck-lab/src/plain.rs
@@ -1,4 +1,4 @@
-//! Stand-in for a plain service: answers with what it was asked, and counts what it ran.
+//! Stand-in for a plain service: echoes requests and counts runs.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -10,13 +10,13 @@
 
 use crate::http::{Server, any_port, json_answer};
 
-/// Header whose value names a run, so that doubled runs show.
+/// Header with the name of a run, to detect requests that ran more than once.
 pub const RUN_HEADER: &str = "x-run";
 
-/// Path that answers how often each run was run.
+/// Path of the number of executions of each named run.
 pub const RUNS_PATH: &str = "/runs-so-far";
 
-/// State of the stand-in.
+/// Plain service with its counts of runs.
 #[derive(Clone, Default)]
 pub struct PlainService {
     name: String,
@@ -45,7 +45,7 @@
         Ok((plain, server))
     }
 
-    /// Gets how often each named run was run.
+    /// Gets the number of executions of each named run.
     pub fn runs(&self) -> HashMap<String, u32> {
         self.runs.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
@@ -60,36 +60,36 @@
             *runs.entry(run).or_insert(0) += 1;
         }
 
-        let number = |name: &str| {
+        let query_number = |name: &str| {
             let pairs = request.url().query_pairs();
             pairs.filter(|(key, _)| key == name).find_map(|(_, value)| value.parse::<u64>().ok())
         };
 
-        if let Some(seconds) = number("rest_s") {
+        if let Some(seconds) = query_number("rest_s") {
             let mut response = Response::new(503);
             response.insert_header("retry-after", seconds.to_string());
-            response.set_body(format!("{} rests", self.name));
+            response.set_body(format!("{} requested a delay", self.name));
             return response;
         }
 
-        if let Some(events) = number("events") {
-            return stream(events, number("every_ms").unwrap_or(10));
+        if let Some(events) = query_number("events") {
+            return stream_events(events, query_number("every_ms").unwrap_or(10));
         }
 
-        async_std::task::sleep(Duration::from_millis(number("delay_ms").unwrap_or(0))).await;
+        async_std::task::sleep(Duration::from_millis(query_number("delay_ms").unwrap_or(0))).await;
 
         let body = request.body_bytes().await.unwrap_or_default();
         let mut response = Response::new(200);
-        let head = format!("{} {} {}\n", self.name, request.method(), request.url().path());
-        response.set_body([head.as_bytes(), &body].concat());
+        let request_line = format!("{} {} {}\n", self.name, request.method(), request.url().path());
+        response.set_body([request_line.as_bytes(), &body].concat());
         response.insert_header("content-type", "text/plain");
         response.insert_header("x-target", self.name.as_str());
         response
     }
 }
 
-/// Streams a number of events, one after another.
-fn stream(events: u64, every_ms: u64) -> Response {
+/// Streams events at an interval.
+fn stream_events(events: u64, every_ms: u64) -> Response {
     let (sender, receiver) = async_channel::bounded(16);
 
     async_std::task::spawn(async move {
--- a/grebedeck-lab/src/platform.rs
+++ b/grebedeck-lab/src/platform.rs
@@ -1,4 +1,4 @@
-//! Stand-in for the platform's table service and list of instances, with faults on demand.
+//! Stand-in for the platform's table service and list of instances, with injected faults.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,18 +13,18 @@
 
 use crate::http::{Server, json_answer};
 
-/// How the table service misbehaves.
+/// Injected faults of the table service.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct TableFaults {
-    /// Nothing is answered.
+    /// Answers every call with status 503.
     pub down: bool,
-    /// Each call takes this much longer.
+    /// Additional delay of each call.
     pub delay: Duration,
-    /// The answers to this many writes are lost after the write took effect.
+    /// Number of writes whose answer is lost after the write took effect.
     pub lose_answers: u32,
 }
 
-/// State of the stand-in.
+/// Platform with its table, instances and faults.
 #[derive(Clone, Default)]
 pub struct Platform {
     table: Arc<Mutex<BTreeMap<String, Versioned>>>,
@@ -51,17 +51,17 @@
         .await
     }
 
-    /// Changes how the table service misbehaves.
+    /// Sets the injected faults.
     pub fn set_faults(&self, faults: TableFaults) {
         *lock(&self.faults) = faults;
     }
 
-    /// Sets the list of instances.
+    /// Replaces the list of instances.
     pub fn set_instances(&self, instances: Vec<Instance>) {
         *lock(&self.instances) = instances;
     }
 
-    /// Gets how many reads and writes were asked for.
+    /// Gets the numbers of reads and writes so far.
     pub fn calls(&self) -> (u64, u64) {
         (self.reads.load(Ordering::Relaxed), self.writes.load(Ordering::Relaxed))
     }
@@ -112,28 +112,28 @@
             return Response::new(400);
         };
 
-        let end = self.transact(transaction);
+        let outcome = self.transact(transaction);
         let mut faults = lock(&self.faults);
 
-        if end == TransactionEnd::Written && faults.lose_answers > 0 {
+        if outcome == TransactionEnd::Written && faults.lose_answers > 0 {
             faults.lose_answers -= 1;
             return Response::new(504);
         }
 
-        json_answer(200, &json!({ "end": end }))
+        json_answer(200, &json!({ "end": outcome }))
     }
 
     fn transact(&self, transaction: Transaction) -> TransactionEnd {
         let mut table = lock(&self.table);
         let version = |key: &String| table.get(key).map_or(0, |v| v.version);
 
-        if transaction.conditions.iter().any(|(key, wanted)| version(key) != *wanted) {
+        if transaction.conditions.iter().any(|(key, expected)| version(key) != *expected) {
             return TransactionEnd::Conflict;
         }
 
         for (key, value) in transaction.writes {
-            let held = table.entry(key).or_default();
-            *held = Versioned { version: held.version + 1, value };
+            let entry = table.entry(key).or_default();
+            *entry = Versioned { version: entry.version + 1, value };
         }
 
         TransactionEnd::Written
--- a/grebedeck-lab/src/routing.rs
+++ b/grebedeck-lab/src/routing.rs
@@ -88,13 +88,13 @@
 /// Results of a run; waits for a slot are in milliseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct RunReport {
-    /// Median.
+    /// Median wait.
     pub p50: f64,
-    /// 95th percentile.
+    /// 95th percentile of the waits.
     pub p95: f64,
-    /// 99th percentile.
+    /// 99th percentile of the waits.
     pub p99: f64,
-    /// Mean.
+    /// Mean wait.
     pub mean: f64,
     /// Mean number of attempts per request; 0 for policies other than `ours`.
     pub attempts: f64,
--- a/grebedeck-lab/src/site.rs
+++ b/grebedeck-lab/src/site.rs
@@ -1,4 +1,4 @@
-//! A whole site on loopback: stand-ins and real entries and agents, in one process.
+//! Complete site on loopback in one process: stand-ins, and real entries and agents.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -17,12 +17,14 @@
 use crate::plain::PlainService;
 use crate::platform::Platform;
 
-/// What a site consists of.
+/// Size and settings of a site.
 #[derive(Clone, Debug)]
 pub struct SiteOptions {
-    /// Port of the first entry; further ones follow it. 0 takes any free ones.
+    /// Caller port of the first entry; further entries use the ports after it. 0 for any free
+    /// ports.
     pub entry_port: u16,
-    /// Port of the first entry's operator port. 0 takes any free one.
+    /// Operator port of the first entry; further entries use the ports after it. 0 for any free
+    /// ports.
     pub operator_port: u16,
     /// Number of entries.
     pub entries: usize,
@@ -30,11 +32,11 @@
     pub groups: usize,
     /// Number of plain targets.
     pub plain_targets: usize,
-    /// The groups' shape.
+    /// Size and speed of each group.
     pub model: ModelOptions,
-    /// Seed of the stand-ins.
+    /// Seed of the groups' stand-ins.
     pub seed: u64,
-    /// Time that a revision may take until it is in force everywhere.
+    /// Maximum time until a revision is in force in all processes.
     pub spread_limit: Duration,
 }
 
@@ -53,30 +55,30 @@
     }
 }
 
-/// A running site.
+/// Running site.
 pub struct Site {
-    /// The stand-in platform.
+    /// Stand-in for the platform.
     pub platform: Platform,
-    /// Its entries.
+    /// Entries.
     pub entries: Vec<Entry>,
-    /// Its agents by target.
+    /// Agents by target.
     pub agents: BTreeMap<String, Agent>,
-    /// Its groups' stand-ins.
+    /// Stand-ins for the groups.
     pub models: Vec<Model>,
-    /// Its plain targets' stand-ins, by target.
+    /// Stand-ins for the plain targets, by target.
     pub plain_services: BTreeMap<String, PlainService>,
-    /// The stand-ins' servers by target, and the platform's under `platform`.
+    /// HTTP servers of the stand-ins by target; that of the platform is `platform`.
     pub servers: BTreeMap<String, Server>,
     platform_address: SocketAddr,
 }
 
-/// Names of the halls; targets and entries are dealt out among them.
+/// Names of the halls, to which groups, plain targets and entries are assigned in turn.
 const HALLS: [&str; 3] = ["hall-a", "hall-b", "hall-c"];
-/// How long a site may take to have its first configuration in force everywhere.
-const START_LIMIT: Duration = Duration::from_secs(10);
+/// Maximum time that [`Site::wait_in_force`] waits.
+const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(10);
 
 impl Site {
-    /// Starts a site; its first configuration is in force when this returns.
+    /// Starts a site and waits until its first configuration is in force.
     pub async fn start(options: &SiteOptions) -> Result<Site> {
         let platform = Platform::default();
         let server = platform.serve(any_port()).await?;
@@ -150,18 +152,18 @@
         Ok(())
     }
 
-    /// Starts the agent of a target and gives the target as an operator would write it.
+    /// Starts the agent of a target and returns the target for the configuration.
     pub async fn start_agent(
         &mut self,
         name: &str,
         hall: &str,
         target_address: SocketAddr,
-        engine: bool,
+        has_engine: bool,
     ) -> Result<Target> {
         let text = json!({
-            "common": self.common(name, hall, any_port()),
+            "common": self.common_settings(name, hall, any_port()),
             "target_address": target_address,
-            "engine_address": engine.then_some(target_address),
+            "engine_address": has_engine.then_some(target_address),
             "clock_margin_ms": 100,
         });
         let settings: AgentSettings = settings::parse(&text.to_string())?;
@@ -175,17 +177,17 @@
             agent_address,
             group: None,
             ranks: Vec::new(),
-            checks_orders: engine,
+            checks_orders: has_engine,
         })
     }
 
-    /// Starts one more entry.
+    /// Starts an additional entry.
     pub async fn start_entry(&mut self, number: usize, options: &SiteOptions) -> Result<()> {
         let port_of = |first: u16| if first == 0 { 0 } else { first + number as u16 };
         let name = format!("entry-{number}");
         let operator = SocketAddr::from(([127, 0, 0, 1], port_of(options.operator_port)));
         let text = json!({
-            "common": self.common(&name, HALLS[number % HALLS.len()], operator),
+            "common": self.common_settings(&name, HALLS[number % HALLS.len()], operator),
             "caller_address": SocketAddr::from(([127, 0, 0, 1], port_of(options.entry_port))),
             "spread_limit_ms": options.spread_limit.as_millis() as u64,
         });
@@ -195,7 +197,7 @@
         Ok(())
     }
 
-    fn common(&self, name: &str, hall: &str, operator: SocketAddr) -> serde_json::Value {
+    fn common_settings(&self, name: &str, hall: &str, operator: SocketAddr) -> serde_json::Value {
         json!({
             "name": name,
             "hall": hall,
@@ -207,7 +209,7 @@
         })
     }
 
-    /// Lists all running processes with the platform.
+    /// Sets the platform's list of instances to all running processes.
     pub fn publish_instances(&self) {
         let entries = self.entries.iter().map(|e| e.settings.common.instance(Role::Entry, 1));
         let agents =
@@ -216,12 +218,12 @@
         self.platform.set_instances(entries.chain(agents).collect());
     }
 
-    /// Gets the addresses where callers are served.
+    /// Gets the caller addresses of all entries.
     pub fn entry_addresses(&self) -> Vec<SocketAddr> {
         self.entries.iter().map(|e| e.settings.caller_address).collect()
     }
 
-    /// Gets the first entry's operator port.
+    /// Gets the operator address of the first entry.
     pub fn operator_address(&self) -> SocketAddr {
         self.entries[0].settings.common.operator_address
     }
@@ -236,17 +238,19 @@
 
         match answer.parse()? {
             AcceptResult::Accepted(revision) => Ok(revision),
-            AcceptResult::Refused(faults) => bail!("refused:\n{faults}"),
-            AcceptResult::Unknown => bail!("unknown"),
+            AcceptResult::Refused(faults) => bail!("change refused:\n{faults}"),
+            AcceptResult::Unknown => {
+                bail!("outcome of the change is unknown")
+            }
         }
     }
 
-    /// Waits until all processes have a revision in force.
+    /// Waits until a revision is in force in all processes.
     pub async fn wait_in_force(&self, revision: u64) -> Result<()> {
         let start = std::time::Instant::now();
 
         while self.revisions().iter().any(|r| *r < revision) {
-            if start.elapsed() > START_LIMIT {
+            if start.elapsed() > IN_FORCE_TIMEOUT {
                 bail!("revision {revision} is not in force everywhere: {:?}", self.revisions());
             }
 
@@ -256,18 +260,18 @@
         Ok(())
     }
 
-    /// Gets the revision that each process has in force.
+    /// Gets the revision in force in each process.
     pub fn revisions(&self) -> Vec<u64> {
         let entries = self.entries.iter().map(|e| &e.kernel);
         let agents = self.agents.values().map(|a| &a.kernel);
-        let config = |k: &grebedeck_kernel::Kernel| {
+        let revision = |k: &grebedeck_kernel::Kernel| {
             k.require::<grebedeck::config::ConfigService>(grebedeck::config::NAME).revision()
         };
 
-        entries.chain(agents).map(config).collect()
+        entries.chain(agents).map(revision).collect()
     }
 
-    /// Drains and stops everything.
+    /// Drains and stops all processes and stand-ins.
     pub async fn stop(self) {
         for entry in self.entries {
             grebedeck::stop::drain(&entry.kernel, Duration::from_secs(10)).await;
