--- a/grebedeck-lab/tests/crashes.rs
+++ b/grebedeck-lab/tests/crashes.rs
@@ -1,8 +1,8 @@
-//! A request that crashes each target that runs it is not sent on and on through entries and agents either.
+//! Quarantine of a request that crashes every target that runs it, with entries and agents.
 //!
-//! An entry saw an attempt fail and sent the request to the next agent, whose target crashed as well; its caller's next
-//! try began anew at the next entry. An agent knows that its target is gone, and told its entry no more than that it had
-//! no answer.
+//! Guards against a crash of one target after the other: an entry retried the request at the next
+//! agent, whose target crashed too, and a further attempt of the caller began anew at another
+//! entry. The agent knew that its target had crashed but only reported that it had no answer.
 
 use std::io::{Read, Write};
 use std::net::{Ipv4Addr, Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -15,37 +15,39 @@
 use grebedeck_lab::site::{Site, SiteOptions};
 use http_types::Method;
 
-/// How long a crashed target is away.
-const DOWN: Duration = Duration::from_millis(600);
-/// How long after its start the deadly request crashes its target.
-const FUSE: Duration = Duration::from_millis(30);
-/// Crashes after which a request is deadly.
-const CRASHES: usize = 3;
-/// How soon after them no more than some sends may follow, and how many.
-const SETTLED: Duration = Duration::from_millis(250);
-const MAX_SENDS_AFTER: usize = 3;
-/// Times that the deadly request comes, and the pause between them.
-const TIMES: usize = 24;
+/// Time that a crashed target is down.
+const DOWNTIME: Duration = Duration::from_millis(600);
+/// Time from the start of the deadly request to the crash of its target.
+const CRASH_DELAY: Duration = Duration::from_millis(30);
+/// Number of crashes after which a request is quarantined.
+const QUARANTINE_CRASHES: usize = 3;
+/// Time after the last of these crashes, after which the number of runs is limited.
+const QUARANTINE_DELAY: Duration = Duration::from_millis(250);
+/// Maximum number of runs after that time.
+const MAX_RUNS_AFTER: usize = 3;
+/// Number of times that the caller sends the deadly request.
+const SENDS: usize = 24;
+/// Pause before each of them.
 const PAUSE: Duration = Duration::from_millis(150);
 
-/// Runs of the deadly request, and the crashes by it.
+/// Times of the runs of the deadly request and of the crashes that it caused.
 #[derive(Default)]
-struct Deadly {
+struct DeadlyRuns {
     runs: Vec<Instant>,
     crashes: Vec<Instant>,
 }
 
-/// A target that crashes where it is told to.
+/// Target that crashes on paths that start with `/deadly`.
 #[derive(Clone)]
 struct Target {
     address: SocketAddr,
     listener: Arc<Mutex<Option<TcpListener>>>,
     streams: Arc<Mutex<Vec<TcpStream>>>,
-    deadly: Arc<Mutex<Deadly>>,
+    deadly: Arc<Mutex<DeadlyRuns>>,
 }
 
 impl Target {
-    fn start(deadly: &Arc<Mutex<Deadly>>) -> Self {
+    fn start(deadly: &Arc<Mutex<DeadlyRuns>>) -> Self {
         let listener = TcpListener::bind((own_ip(), 0)).expect("a free port");
         let address = listener.local_addr().expect("its address");
         let (listener, streams) = (Arc::new(Mutex::new(Some(listener))), Arc::default());
@@ -84,9 +86,9 @@
     fn answer(&self, mut stream: TcpStream) {
         while let Some(head) = read_head(&mut stream) {
             if !head.contains("/deadly") {
-                let whole = "HTTP/1.1 200 S\r\ncontent-length: 2\r\n\r\nok";
+                let answer = "HTTP/1.1 200 S\r\ncontent-length: 2\r\n\r\nok";
 
-                if stream.write_all(whole.as_bytes()).is_err() {
+                if stream.write_all(answer.as_bytes()).is_err() {
                     return;
                 }
 
@@ -97,11 +99,11 @@
 
             if head.contains("/deadly/stream") {
                 let begun = "HTTP/1.1 200 S\r\ntransfer-encoding: chunked\r\n\r\n2\r\nok\r\n";
-                // Whether it is taken makes no difference.
+                // The peer may have disconnected; the target crashes in any case.
                 let _ = stream.write_all(begun.as_bytes());
             }
 
-            std::thread::sleep(FUSE);
+            std::thread::sleep(CRASH_DELAY);
             self.deadly.lock().expect("whole").crashes.push(Instant::now());
             return self.crash();
         }
@@ -113,18 +115,19 @@
         }
 
         for stream in self.streams.lock().expect("whole").drain(..) {
-            // Its peer may have closed it already.
+            // The peer may have closed the connection already.
             let _ = stream.shutdown(Shutdown::Both);
         }
 
-        std::thread::sleep(DOWN);
+        std::thread::sleep(DOWNTIME);
         *self.listener.lock().expect("whole") =
             Some(TcpListener::bind(self.address).expect("its own port"));
         self.serve();
     }
 }
 
-/// Gets an address that no other target has, so that nobody gets its port while it is down.
+/// Gets an IP address that no other target has, so that no other process can take the target's port
+/// while it is down.
 fn own_ip() -> Ipv4Addr {
     static TARGETS: AtomicU8 = AtomicU8::new(1);
     let target = TARGETS.fetch_add(1, Ordering::Relaxed);
@@ -147,8 +150,8 @@
     String::from_utf8(bytes).ok()
 }
 
-/// Starts a site whose service `brittle` has targets that crash.
-async fn start(deadly: &Arc<Mutex<Deadly>>) -> Site {
+/// Starts a site with a service `brittle`, whose targets crash on deadly requests.
+async fn start(deadly: &Arc<Mutex<DeadlyRuns>>) -> Site {
     let options = SiteOptions { groups: 0, plain_targets: 1, ..SiteOptions::default() };
     let mut site = Site::start(&options).await.expect("a site");
     let mut change = Change { id: "brittle".to_string(), ..Change::default() };
@@ -164,21 +167,21 @@
     site.publish_instances();
     let revision = site.apply(&change).await.expect("in force");
     site.wait_in_force(revision).await.expect("in force");
-    // Entries read the list of instances each few seconds, and know each other by it.
+    // Entries find each other in the list of instances, which they read every few seconds.
     async_std::task::sleep(Duration::from_secs(4)).await;
     site
 }
 
-/// Sends the deadly request at each entry in turn; gets the status and the outcome of the last.
+/// Sends the deadly request to the entries in turn and gets the last answer's status and outcome.
 async fn send_deadly(site: &Site, method: Method, path: &str) -> (u16, String) {
     let entries = site.entry_addresses();
     let mut last = (0, String::new());
 
-    for number in 0..TIMES {
+    for number in 0..SENDS {
         async_std::task::sleep(PAUSE).await;
         let caller = Caller::new(entries[number % entries.len()], "northwind", "brittle");
 
-        // A stream that is cut has no end.
+        // A truncated stream is an error.
         if let Ok(answer) = caller.send(caller.request(method, path)).await {
             last = (answer.status, answer.outcome);
         }
@@ -187,22 +190,23 @@
     last
 }
 
-fn check(deadly: &Mutex<Deadly>) {
+fn assert_quarantined(deadly: &Mutex<DeadlyRuns>) {
     let deadly = deadly.lock().expect("whole");
-    let third = deadly.crashes.get(CRASHES - 1).expect("three crashes");
-    let after = deadly.runs.iter().filter(|at| **at > *third + SETTLED).count();
+    let last_counted =
+        deadly.crashes.get(QUARANTINE_CRASHES - 1).expect("enough crashes for quarantine");
+    let after = deadly.runs.iter().filter(|at| **at > *last_counted + QUARANTINE_DELAY).count();
 
-    assert!(after <= MAX_SENDS_AFTER, "{after} of {} sends after", deadly.runs.len());
+    assert!(after <= MAX_RUNS_AFTER, "{after} of {} runs after quarantine", deadly.runs.len());
 }
 
-async fn play(method: Method, path: &str) {
-    let deadly: Arc<Mutex<Deadly>> = Arc::default();
+async fn check_quarantine(method: Method, path: &str) {
+    let deadly: Arc<Mutex<DeadlyRuns>> = Arc::default();
     let site = start(&deadly).await;
     let last = send_deadly(&site, method, path).await;
-    check(&deadly);
+    assert_quarantined(&deadly);
     assert_eq!(last, (503, "not-run".to_string()));
 
-    async_std::task::sleep(DOWN * 2).await;
+    async_std::task::sleep(DOWNTIME * 2).await;
     let other = Caller::new(site.entry_addresses()[0], "northwind", "brittle");
 
     for _ in 0..40 {
@@ -213,28 +217,28 @@
 }
 
 #[test]
-fn entries_do_not_send_a_deadly_request_on_that_may_be_repeated() {
-    async_std::task::block_on(play(Method::Put, "/deadly"));
+fn a_repeatable_deadly_request_is_quarantined() {
+    async_std::task::block_on(check_quarantine(Method::Put, "/deadly"));
 }
 
 #[test]
-fn entries_do_not_send_a_deadly_request_on_that_runs_at_most_once() {
-    async_std::task::block_on(play(Method::Post, "/deadly"));
+fn a_deadly_request_that_runs_at_most_once_is_quarantined() {
+    async_std::task::block_on(check_quarantine(Method::Post, "/deadly"));
 }
 
 #[test]
-fn entries_do_not_send_a_deadly_stream_on() {
-    async_std::task::block_on(play(Method::Put, "/deadly/stream"));
+fn a_deadly_stream_is_quarantined() {
+    async_std::task::block_on(check_quarantine(Method::Put, "/deadly/stream"));
 }
 
 #[test]
-fn an_entry_that_starts_later_does_not_send_it_either() {
+fn a_new_entry_knows_of_the_quarantine() {
     async_std::task::block_on(async {
-        let deadly: Arc<Mutex<Deadly>> = Arc::default();
+        let deadly: Arc<Mutex<DeadlyRuns>> = Arc::default();
         let mut site = start(&deadly).await;
         send_deadly(&site, Method::Put, "/deadly").await;
         let before = deadly.lock().expect("whole").runs.len();
-        assert!(before >= CRASHES);
+        assert!(before >= QUARANTINE_CRASHES);
         site.start_entry(2, &SiteOptions::default()).await.expect("an entry");
         site.publish_instances();
         site.wait_in_force(2).await.expect("in force");
--- a/grebedeck-lab/tests/group.rs
+++ b/grebedeck-lab/tests/group.rs
@@ -1,4 +1,4 @@
-//! A group's switches on real agents, with a replaced one.
+//! Map switches of a group with real agents, also after the replacement of an agent.
 
 use std::time::Duration;
 
@@ -8,8 +8,8 @@
 use grebedeck_lab::site::{Site, SiteOptions};
 use serde_json::Value;
 
-/// How long to wait for something that takes well under a second.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Maximum time to wait for a switch, which takes well under a second.
+const SWITCH_TIMEOUT: Duration = Duration::from_secs(30);
 
 async fn site() -> Site {
     let model = ModelOptions { shift_every: Duration::from_secs(3), ..ModelOptions::default() };
@@ -24,19 +24,19 @@
     site.agents[&name].kernel.dump()["group"].clone()
 }
 
-/// Waits until all members use the same map, and one for which `wanted` holds.
-async fn wait_for_map(site: &Site, wanted: impl Fn(&Value) -> bool) -> Value {
+/// Waits until all members use the same map and it satisfies the predicate.
+async fn wait_for_map(site: &Site, is_expected: impl Fn(&Value) -> bool) -> Value {
     let start = std::time::Instant::now();
 
     loop {
         let maps: Vec<Value> =
             (0..4).map(|rank| status(site, rank)["switch"]["current"].clone()).collect();
 
-        if maps.iter().all(|m| *m == maps[0] && !m.is_null() && wanted(m)) {
+        if maps.iter().all(|m| *m == maps[0] && !m.is_null() && is_expected(m)) {
             return maps[0].clone();
         }
 
-        assert!(start.elapsed() < PATIENCE, "{maps:?}");
+        assert!(start.elapsed() < SWITCH_TIMEOUT, "{maps:?}");
         async_std::task::sleep(Duration::from_millis(20)).await;
     }
 }
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn maps_change_as_popularity_shifts_and_no_request_is_disturbed() {
+fn maps_change_as_popularity_shifts_without_disturbing_requests() {
     async_std::task::block_on(async {
         let site = site().await;
         let caller = Caller::new(site.entry_addresses()[0], "northwind", "summary");
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn a_replaced_agent_joins_its_group_and_the_group_goes_on_switching() {
+fn a_replacement_agent_joins_its_group_and_the_group_keeps_switching() {
     async_std::task::block_on(async {
         let mut site = site().await;
         let before = wait_for_map(&site, is_switched).await;
@@ -89,7 +89,7 @@
             (0..4).map(|rank| status(&site, rank)["switch"]["roster"].clone()).collect();
         assert!(rosters.iter().all(|r| *r == rosters[0]), "{rosters:?}");
 
-        // The stand-in stops the process if a step ever runs on two maps.
+        // The task of the stand-in panics if a step would run on two maps, which ends the steps.
         let steps = site.models[0].take_stats().steps;
         async_std::task::sleep(Duration::from_millis(200)).await;
         assert!(site.models[0].take_stats().steps > steps);
--- a/grebedeck-lab/tests/path.rs
+++ b/grebedeck-lab/tests/path.rs
@@ -1,4 +1,4 @@
-//! The whole path on loopback, from callers through entries and agents to stand-ins.
+//! Requests on loopback from callers through entries and agents to stand-ins.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -23,14 +23,14 @@
     Site::start(&options).await.unwrap()
 }
 
-/// Sends bytes and reads one whole answer, or what comes before the end of the connection.
-async fn raw(address: std::net::SocketAddr, text: &[u8]) -> String {
+/// Sends bytes and reads one answer, or what is received before the connection ends.
+async fn send_raw(address: std::net::SocketAddr, text: &[u8]) -> String {
     let mut tcp = TcpStream::connect(address).await.unwrap();
     tcp.write_all(text).await.unwrap();
     let mut answer = String::new();
     let mut part = vec![0; 4096];
 
-    while !is_whole(&answer) {
+    while !is_complete(&answer) {
         match tcp.read(&mut part).await {
             Ok(read) if read > 0 => answer.push_str(&String::from_utf8_lossy(&part[..read])),
             _ => break,
@@ -40,8 +40,8 @@
     answer
 }
 
-/// Tells whether an HTTP answer has as much body as its head says.
-fn is_whole(answer: &str) -> bool {
+/// Whether the body of an HTTP answer is as long as its head says.
+fn is_complete(answer: &str) -> bool {
     let Some((head, body)) = answer.split_once("\r\n\r\n") else {
         return false;
     };
@@ -51,8 +51,8 @@
     length.is_some_and(|length: usize| body.len() >= length)
 }
 
-/// A request that must run at most once, with a key that was issued just now.
-async fn grant(
+/// Sends a request that must run at most once, with a key issued now.
+async fn send_keyed(
     entry: &Caller,
     key: &str,
     run: &str,
@@ -66,13 +66,13 @@
     entry.send(request).await
 }
 
-/// Waits until keys issued from now on are newer than every memory in the site.
-async fn until_keys_are_young() {
+/// Waits until the key memory of every process covers newly issued keys.
+async fn wait_for_key_memory() {
     async_std::task::sleep(Duration::from_millis(400)).await;
 }
 
 #[test]
-fn a_thousand_mixed_requests_get_their_own_whole_answers() {
+fn a_thousand_mixed_requests_get_their_own_complete_answers() {
     block_on(async {
         let site = site(1).await;
         let entries = site.entry_addresses();
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn events_arrive_as_they_are_made() {
+fn events_arrive_while_the_stream_continues() {
     block_on(async {
         let site = site(1).await;
         let caller = Caller::new(site.entry_addresses()[0], "northwind", "summary");
@@ -125,19 +125,19 @@
 
         let mut buffer = vec![0; 64];
         assert!(answer.read(&mut buffer).await.unwrap() > 0);
-        let made_by_then = site.models[0].take_stats().steps;
+        let steps_before = site.models[0].take_stats().steps;
         let mut rest = String::new();
         answer.response.take_body().read_to_string(&mut rest).await.unwrap();
 
         let last = rest.rsplit("\"step\":").next().unwrap();
         let last: u64 = last.trim_end_matches(|c: char| !c.is_ascii_digit()).parse().unwrap();
-        assert!(made_by_then < last, "{made_by_then} {last}");
+        assert!(steps_before < last, "{steps_before} {last}");
         site.stop().await;
     });
 }
 
 #[test]
-fn headers_and_methods_pass_through_but_for_hop_by_hop_ones() {
+fn methods_and_paths_pass_through() {
     block_on(async {
         let site = site(0).await;
         let caller = Caller::new(site.entry_addresses()[0], "contoso", "roster");
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn bad_requests_get_a_clear_answer_and_the_entry_goes_on() {
+fn bad_requests_get_an_error_and_the_entry_keeps_serving() {
     block_on(async {
         let site = site(0).await;
         let entry = site.entry_addresses()[0];
@@ -165,7 +165,7 @@
         let service = Caller::new(entry, "northwind", "nothing").get("/").await.unwrap();
         assert_eq!((service.status, service.outcome.as_str()), (403, "refused"));
 
-        let headless = raw(entry, b"GET / HTTP/1.1\r\nhost: x\r\n\r\n").await;
+        let headless = send_raw(entry, b"GET / HTTP/1.1\r\nhost: x\r\n\r\n").await;
         assert!(headless.starts_with("HTTP/1.1 400"), "{headless}");
         assert!(headless.contains("grebedeck-organisation: missing"), "{headless}");
 
@@ -179,13 +179,13 @@
 
         let long = format!("GET / HTTP/1.1\r\nhost: x\r\nx-long: {}\r\n\r\n", "a".repeat(20_000));
 
-        // With unread data behind it, an answer was lost to a reset now and then.
+        // A connection reset, caused by unread request data, sometimes discarded the answer.
         for _ in 0..50 {
-            let refused = raw(entry, long.as_bytes()).await;
+            let refused = send_raw(entry, long.as_bytes()).await;
             assert!(refused.starts_with("HTTP/1.1 431"), "{refused}");
         }
 
-        let garbage = raw(entry, b"\x00\x01\x02 nonsense\r\n\r\n").await;
+        let garbage = send_raw(entry, b"\x00\x01\x02 nonsense\r\n\r\n").await;
         assert!(garbage.starts_with("HTTP/1.1 400"), "{garbage}");
 
         assert_eq!(good.get("/").await.unwrap().status, 200);
@@ -194,12 +194,12 @@
 }
 
 #[test]
-fn garbage_on_the_peer_port_is_counted_and_does_no_harm() {
+fn garbage_on_the_peer_port_is_counted_and_ignored() {
     block_on(async {
         let site = site(0).await;
         let agent = &site.agents["roster-0"];
         let peer = agent.settings.common.peer_address;
-        raw(peer, b"this is not h2 at all, and never will be\r\n\r\n").await;
+        send_raw(peer, b"this is not h2 at all, and never will be\r\n\r\n").await;
 
         let link = grebedeck_net::Link::connect(peer, Duration::from_secs(1)).await.unwrap();
         let mut stream = link.open("/work").await.unwrap();
@@ -209,9 +209,9 @@
         let operator = agent.settings.common.operator_address;
         let mut text = String::new();
 
-        // Counting happens behind the answer, so the counter is read until it has moved.
+        // The counter may be updated after the answer was sent, so it is polled.
         for _ in 0..200 {
-            text = raw(operator, b"GET /metrics HTTP/1.1\r\nhost: x\r\n\r\n").await;
+            text = send_raw(operator, b"GET /metrics HTTP/1.1\r\nhost: x\r\n\r\n").await;
 
             if text.contains("on=\"stream\",otel_scope_name=\"grebedeck\"} 1") {
                 break;
@@ -235,19 +235,19 @@
         let entries = site.entry_addresses();
         let callers: Vec<_> =
             entries.iter().map(|e| Caller::new(*e, "northwind", "roster")).collect();
-        until_keys_are_young().await;
+        wait_for_key_memory().await;
 
-        let first = grant(&callers[0], "grant-1", "run-1", "/grant").await.unwrap();
+        let first = send_keyed(&callers[0], "grant-1", "run-1", "/grant").await.unwrap();
         assert_eq!((first.status, first.outcome.as_str()), (200, "done"), "{}", first.text());
 
         for caller in &callers {
-            let again = grant(caller, "grant-1", "run-1", "/grant").await.unwrap();
+            let again = send_keyed(caller, "grant-1", "run-1", "/grant").await.unwrap();
             assert_eq!((again.status, again.outcome.as_str()), (409, "unknown"));
         }
 
-        // Another organisation's equal key is another key.
+        // Keys are separate for each organisation.
         let other = Caller::new(entries[1], "fabrikam", "roster");
-        assert_eq!(grant(&other, "grant-1", "run-2", "/grant").await.unwrap().status, 200);
+        assert_eq!(send_keyed(&other, "grant-1", "run-2", "/grant").await.unwrap().status, 200);
 
         let runs: Vec<_> = site.plain_services.values().flat_map(|p| p.runs()).collect();
         assert!(runs.iter().all(|(_, count)| *count == 1), "{runs:?}");
@@ -257,7 +257,7 @@
 }
 
 #[test]
-fn a_key_without_a_time_of_issue_is_in_doubt() {
+fn a_key_without_a_time_of_issue_has_an_unknown_outcome() {
     block_on(async {
         let site = site(0).await;
         let caller = Caller::new(site.entry_addresses()[0], "northwind", "roster");
@@ -272,7 +272,7 @@
 }
 
 #[test]
-fn a_dead_target_costs_repeatable_requests_nothing() {
+fn repeatable_requests_succeed_after_an_agent_has_stopped() {
     block_on(async {
         let mut site = site(0).await;
         let caller = Caller::new(site.entry_addresses()[0], "northwind", "roster");
@@ -289,7 +289,7 @@
 }
 
 #[test]
-fn a_planned_stop_lets_requests_in_flight_finish_and_takes_no_new_ones() {
+fn a_stopping_agent_finishes_requests_in_flight_and_gets_no_new_ones() {
     block_on(async {
         let site = site(0).await;
         let caller = Caller::new(site.entry_addresses()[0], "northwind", "roster");
@@ -308,7 +308,7 @@
         for _ in 0..40 {
             let answer = caller.get("/").await.unwrap();
             assert_eq!(answer.status, 200);
-            assert!(!answer.text().starts_with("roster-0"), "new work on a leaving target");
+            assert!(!answer.text().starts_with("roster-0"), "new request on a stopping target");
         }
 
         for answer in slow {
@@ -321,7 +321,7 @@
 }
 
 #[test]
-fn a_caller_that_goes_away_frees_its_place() {
+fn a_disconnected_caller_frees_its_slot() {
     block_on(async {
         let site = site(1).await;
         let entry = site.entry_addresses()[0];
@@ -350,12 +350,12 @@
 }
 
 #[test]
-fn dumps_hold_no_key() {
+fn dumps_contain_no_key() {
     block_on(async {
         let site = site(0).await;
         let caller = Caller::new(site.entry_addresses()[0], "northwind", "roster");
-        until_keys_are_young().await;
-        grant(&caller, "secret-key-77", "run", "/grant").await.unwrap();
+        wait_for_key_memory().await;
+        send_keyed(&caller, "secret-key-77", "run", "/grant").await.unwrap();
 
         let dumps: BTreeMap<_, _> =
             site.agents.iter().map(|(name, agent)| (name, agent.kernel.dump())).collect();
@@ -366,36 +366,37 @@
     });
 }
 
-/// Gets the name of the target that answered.
-fn first_word(answer: &CallerAnswer) -> String {
+/// Gets the name of the target, which is the first word of its answer.
+fn target_name(answer: &CallerAnswer) -> String {
     answer.text().split(' ').next().unwrap_or_default().to_string()
 }
 
-/// Two of a service's three targets turn one request each away and ask for rest; by their load they are then the best.
+/// Two of a service's three targets refuse one request each and request a delay. They then have the
+/// lowest load and must still get no requests.
 #[test]
-fn a_target_behind_an_agent_that_asks_for_rest_gets_nothing() {
+fn a_target_that_requests_a_delay_gets_no_requests() {
     block_on(async {
         let site = site(0).await;
         let caller = Caller::new(site.entry_addresses()[0], "northwind", "roster");
-        let mut resting = std::collections::BTreeSet::new();
+        let mut delayed = std::collections::BTreeSet::new();
 
         for _ in 0..2 {
             let answer = caller.get("/slots?rest_s=30").await.unwrap();
             assert_eq!(answer.status, 503);
-            assert!(resting.insert(first_word(&answer)), "each target is asked once");
+            assert!(delayed.insert(target_name(&answer)), "a delayed target got a request");
         }
 
         for _ in 0..40 {
             let answer = caller.get("/slots").await.unwrap();
             assert_eq!(answer.status, 200);
-            assert!(!resting.contains(&first_word(&answer)));
+            assert!(!delayed.contains(&target_name(&answer)));
         }
 
         site.stop().await;
     });
 }
 
-/// Answers each request on each connection with the same bytes, in threads of their own.
+/// Serves the same bytes as the answer to every request, with a thread per connection.
 fn serve_bytes(bytes: &'static [u8]) -> std::net::SocketAddr {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -427,11 +428,12 @@
     }
 }
 
-/// Callers got an answer whose head ended in the middle, with its other headers in the body, and lost the connection for
-/// their next request. The target sends no date; the library that the agent reads it with makes one up that holds a line
-/// break, and it was passed on. Proof: the bytes that the caller got have `date: date:` and an empty line behind it.
+/// For an answer without a `date` header, the agent's HTTP library adds one that contains a line
+/// break. When it was forwarded, the caller got `date: date:` and an empty line, which ended the
+/// head early: the remaining headers became part of the body, and the connection was lost for the
+/// next request.
 #[test]
-fn an_answer_without_a_date_stays_whole() {
+fn an_answer_without_a_date_header_stays_intact() {
     block_on(async {
         let mut site = site(0).await;
         let address = serve_bytes(b"HTTP/1.1 200 OK\r\nx-last: yes\r\ncontent-length: 2\r\n\r\nok");
--- a/grebedeck-lab/tests/stall.rs
+++ b/grebedeck-lab/tests/stall.rs
@@ -1,4 +1,4 @@
-//! An agent that freezes: its connections stay open, and nothing comes.
+//! Requests to an agent that hangs: its connections stay open, but it sends nothing.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -14,19 +14,19 @@
 use grebedeck_net::{Incoming, StreamHandler, listen};
 use http_types::Method;
 
-/// Answers control messages until the first work arrives, and nothing after that.
-struct Freezing {
+/// Agent that answers control messages until the first request arrives, and nothing after that.
+struct HangingAgent {
     name: String,
-    frozen: AtomicBool,
+    is_hanging: AtomicBool,
 }
 
-impl StreamHandler for Freezing {
+impl StreamHandler for HangingAgent {
     async fn handle(&self, incoming: Incoming) {
         if incoming.path != CONTROL_PATH {
-            self.frozen.store(true, Ordering::SeqCst);
+            self.is_hanging.store(true, Ordering::SeqCst);
         }
 
-        if self.frozen.load(Ordering::SeqCst) {
+        if self.is_hanging.load(Ordering::SeqCst) {
             futures::future::pending::<()>().await;
         }
 
@@ -44,12 +44,13 @@
     fn broken_connection(&self) {}
 }
 
-/// A site whose one target for the service `frozen` freezes, beside one that works if `spare`.
+/// Starts a site with a service `frozen`, whose target hangs. With `spare`, the service has a
+/// second target that works.
 async fn site(spare: bool) -> Site {
     let site = Site::start(&SiteOptions { groups: 0, ..SiteOptions::default() }).await.unwrap();
     let listener = TcpListener::bind(any_port()).await.unwrap();
     let agent_address = listener.local_addr().unwrap();
-    let handler = Freezing { name: "freezing".to_string(), frozen: AtomicBool::new(false) };
+    let handler = HangingAgent { name: "freezing".to_string(), is_hanging: AtomicBool::new(false) };
     async_std::task::spawn(listen(listener, Arc::new(handler)));
 
     let mut change = Change { id: "freeze".to_string(), ..Change::default() };
@@ -75,26 +76,26 @@
     site
 }
 
-/// The caller's own limit: the entry would wait as long for a target that it takes for slow.
+/// Deadline of the requests. An entry waits this long for a target that is merely slow.
 const DEADLINE: Duration = Duration::from_secs(600);
-/// When this test gives up; a frozen agent is noticed long before.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// Maximum time for an answer. The entry must detect the hang well before the deadline.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(60);
 
-async fn ask(site: &Site, method: Method) -> grebedeck_lab::caller::CallerAnswer {
+async fn send(site: &Site, method: Method) -> grebedeck_lab::caller::CallerAnswer {
     let caller = Caller::new(site.entry_addresses()[0], "northwind", "frozen");
     let mut request = caller.request(method, "/");
     request.insert_header("grebedeck-deadline-ms", DEADLINE.as_millis().to_string());
 
-    async_std::future::timeout(PATIENCE, caller.send(request)).await.unwrap().unwrap()
+    async_std::future::timeout(ANSWER_TIMEOUT, caller.send(request)).await.unwrap().unwrap()
 }
 
 #[test]
-fn repeatable_requests_go_elsewhere_long_before_their_deadline() {
+fn repeatable_requests_are_retried_long_before_their_deadline() {
     async_std::task::block_on(async {
         let site = site(true).await;
 
         for _ in 0..6 {
-            let answer = ask(&site, Method::Get).await;
+            let answer = send(&site, Method::Get).await;
             assert_eq!(answer.status, 200, "{}", answer.text());
         }
 
@@ -103,11 +104,11 @@
 }
 
 #[test]
-fn what_must_run_once_ends_as_unknown() {
+fn a_request_that_may_run_once_ends_with_an_unknown_outcome() {
     async_std::task::block_on(async {
         let site = site(false).await;
 
-        let answer = ask(&site, Method::Post).await;
+        let answer = send(&site, Method::Post).await;
 
         assert_eq!((answer.status, answer.outcome.as_str()), (502, "unknown"), "{}", answer.text());
         site.stop().await;
