--- a/grebedeck/src/gateway/assignment.rs
+++ b/grebedeck/src/gateway/assignment.rs
@@ -1,9 +1,10 @@
-//! Assigns places on targets to the requests that wait in a service's queue.
+//! Assigns slots on targets to the requests that wait in a service's queue.
 //!
-//! While requests wait for a service, a task looks for places: when one may have become free, when
-//! the target list, the configuration or a load has changed, when the next prompt may begin, and
-//! when a waiting request has to be refused. A place is acquired before it is assigned, so that no
-//! other request gets it in between; a request that has left the queue meanwhile gives it back.
+//! While requests wait for a service, a task looks for free slots: when one may have become free,
+//! when the target list, the configuration or a load has changed, when the next prompt may begin,
+//! and when a waiting request has to be refused. A slot is acquired before it is assigned, so that
+//! no other request gets it in between; if the request has left the queue meanwhile, the slot is
+//! released.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -18,38 +19,38 @@
 use super::slot::{self, NoSlot, Slot};
 use super::wait_queues::Obstacle;
 
-/// Assigns places for as long as requests wait for a service.
+/// Assigns slots for as long as requests wait for a service.
 pub async fn serve_queue(gateway: Rc<Gateway>, service: ServiceName) {
     loop {
-        // Listening begins before the search, so that no place that becomes free meanwhile is
+        // Listening begins before the search, so that no slot that becomes free meanwhile is
         // missed.
         let slot_freed = gateway.slot_freed.listen();
-        let Some(pause) = assign_places(&gateway, &service) else {
-            gateway.waiting.with(&service, |line| line.has_task = false);
+        let Some(pause) = assign_slots(&gateway, &service) else {
+            gateway.waiting.with(&service, |state| state.has_task = false);
             return;
         };
         let _ = timeout(pause, slot_freed).await;
     }
 }
 
-/// Assigns places in queue order while there are any; returns the time until the next search, or
+/// Assigns slots in queue order while there are any; returns the time until the next search, or
 /// `None` if no request waits.
-pub fn assign_places(gateway: &Rc<Gateway>, service: &str) -> Option<Duration> {
+pub fn assign_slots(gateway: &Rc<Gateway>, service: &str) -> Option<Duration> {
     loop {
         let now = gateway.now();
         let (request, tried) = gateway.waiting.peek(service, now)?;
 
         match slot::try_acquire(gateway, &request, &tried, now) {
             Ok(slot) => {
-                let next = gateway.waiting.with(service, |line| line.queue.pop(now)).flatten();
-                let (waiter, seeker) = next?;
+                let next = gateway.waiting.with(service, |state| state.queue.pop(now)).flatten();
+                let (waiter, queued) = next?;
                 gateway.counters.waiting.decrement(waiter.urgency);
-                // If the request has just left, dropping the place gives it back.
-                drop(seeker.reply.send(Ok(slot)));
+                // If the request has just left, dropping the slot releases it.
+                drop(queued.reply.send(Ok(slot)));
             }
             Err(reason) => {
                 refuse_due(gateway, service, reason, now);
-                let next = gateway.waiting.with(service, |line| line.queue.next_expiry());
+                let next = gateway.waiting.with(service, |state| state.queue.next_expiry());
                 let until_due = next.flatten()?.saturating_sub(now);
 
                 return Some(search_interval(reason).min(until_due).max(MIN_SLOT_WAIT));
@@ -71,17 +72,17 @@
     }
 }
 
-/// Records why there is no place; returns the reason.
+/// Records why there is no slot; returns the reason.
 pub fn record_obstacle(gateway: &Gateway, service: &str, reason: NoSlot) -> NoSlot {
     let obstacle = Obstacle { reason, is_overdue: gateway.is_outage_overdue(service) };
-    gateway.waiting.with(service, |line| line.obstacle = obstacle);
+    gateway.waiting.with(service, |state| state.obstacle = obstacle);
 
     reason
 }
 
 /// Refuses requests for which waiting is no longer useful, and extends the wait of others.
 fn refuse_due(gateway: &Rc<Gateway>, service: &str, reason: NoSlot, now: Moment) {
-    let previous = gateway.waiting.with(service, |line| line.obstacle);
+    let previous = gateway.waiting.with(service, |state| state.obstacle);
     record_obstacle(gateway, service, reason);
     let is_overdue = gateway.is_outage_overdue(service);
     let is_same = |o: Obstacle| {
@@ -92,40 +93,40 @@
     let has_changed = !previous.is_some_and(is_same);
     // The estimated end of an overdue outage keeps moving for all requests.
     let concerns_all = has_changed || (is_overdue && matches!(reason, NoSlot::Out(_)));
-    let affected = gateway.waiting.with(service, |line| {
+    let affected = gateway.waiting.with(service, |state| {
         let tickets =
-            if concerns_all { line.queue.tickets() } else { line.queue.expired_tickets(now) };
-        let request = |ticket: &Ticket| {
-            let (waiter, seeker) = line.queue.get(*ticket)?;
-            Some((*ticket, waiter.expires_at, seeker.request.clone()))
+            if concerns_all { state.queue.tickets() } else { state.queue.expired_tickets(now) };
+        let with_expiry = |ticket: &Ticket| {
+            let (waiter, queued) = state.queue.get(*ticket)?;
+            Some((*ticket, waiter.expires_at, queued.request.clone()))
         };
 
-        tickets.iter().filter_map(request).collect::<Vec<_>>()
+        tickets.iter().filter_map(with_expiry).collect::<Vec<_>>()
     });
 
-    for (ticket, give_up, request) in affected.unwrap_or_default() {
-        match hold::held_until(gateway, &request, reason, give_up, now) {
+    for (ticket, expires_at, request) in affected.unwrap_or_default() {
+        match hold::held_until(gateway, &request, reason, expires_at, now) {
             Some(until) => {
-                gateway.waiting.with(service, |line| line.queue.set_expiry(ticket, until));
+                gateway.waiting.with(service, |state| state.queue.set_expiry(ticket, until));
             }
-            None => answer_waiter(gateway, service, ticket, Err(reason), now),
+            None => dequeue_and_reply(gateway, service, ticket, Err(reason), now),
         }
     }
 }
 
-/// Removes a request from the queue and sends it the answer.
-pub fn answer_waiter(
+/// Removes a request from the queue and sends it its slot, or the reason why there is none.
+pub fn dequeue_and_reply(
     gateway: &Gateway,
     service: &str,
     ticket: Ticket,
     reply: Result<Slot, NoSlot>,
     now: Moment,
 ) {
-    let removed = gateway.waiting.with(service, |line| line.queue.remove(ticket, now)).flatten();
+    let removed = gateway.waiting.with(service, |state| state.queue.remove(ticket, now)).flatten();
 
-    if let Some((waiter, seeker)) = removed {
+    if let Some((waiter, queued)) = removed {
         gateway.counters.waiting.decrement(waiter.urgency);
-        // A request that has just left needs no answer.
-        drop(seeker.reply.send(reply));
+        // A request that has just left needs no reply.
+        drop(queued.reply.send(reply));
     }
 }
--- a/grebedeck/src/gateway/cold.rs
+++ b/grebedeck/src/gateway/cold.rs
@@ -65,9 +65,9 @@
         self.cold.borrow().remaining(target, self.now())
     }
 
-    /// Returns the targets with their full capacity, neither cold nor limited. Where all are cold
-    /// or all are limited, that restriction is ignored.
-    pub fn at_full_capacity(
+    /// Returns the targets that are neither cold nor rate-limited, and thus have their full
+    /// capacity. If all targets are cold, cold ones are included; likewise limited ones.
+    pub fn without_cold_or_limited(
         &self,
         targets: &Arc<[Arc<TargetEntry>]>,
         now: Moment,
@@ -75,7 +75,7 @@
         self.without_limited(self.without_cold(targets, now))
     }
 
-    /// Returns the targets that are not cold, which have their full capacity; all if all are cold.
+    /// Returns the targets that are not cold; all if all are cold.
     pub fn without_cold(
         &self,
         targets: &Arc<[Arc<TargetEntry>]>,
--- a/grebedeck/src/gateway/enqueue.rs
+++ b/grebedeck/src/gateway/enqueue.rs
@@ -2,7 +2,7 @@
 //!
 //! A request acquires a slot at once if nobody is queued, and is queued otherwise: a request of the
 //! same urgency that came earlier, or a more urgent one, is not overtaken. A request that cannot be
-//! in time because of this order is rejected at once.
+//! in time because of this order is refused at once.
 
 use std::rc::Rc;
 
@@ -26,7 +26,7 @@
 pub enum Acquisition {
     /// A slot.
     Acquired(Slot),
-    /// An entry in the queue.
+    /// The request's entry in the queue.
     Queued(QueueEntry),
 }
 
@@ -40,9 +40,9 @@
     let service = &request.service;
     let urgency = request.admitted.urgency();
     gateway.waiting.ensure_queue(&gateway.table(), gateway.uses_urgency_order(service), service);
-    let is_first = gateway.waiting.is_empty(service);
+    let is_queue_empty = gateway.waiting.is_empty(service);
 
-    let reason = if is_first {
+    let reason = if is_queue_empty {
         match slot::try_acquire(gateway, request, tried, now) {
             Ok(slot) => {
                 gateway.waiting.with(service, |state| state.queue.record_immediate(urgency, now));
@@ -55,31 +55,31 @@
     };
 
     let start_by = hold::start_by(gateway, request, tried, now);
-    let expires_at = hold::give_up_at(gateway, request, start_by);
+    let expires_at = hold::initial_expiry(gateway, request, start_by);
     let expires_at = hold::held_until(gateway, request, reason, expires_at, now).ok_or(reason)?;
     let waiter = waiter(gateway, request, tried, start_by, expires_at);
 
     if hold::can_meet_objective(gateway, request) {
-        reject_late(gateway, &waiter, service, reason, now)?;
+        refuse_late(gateway, &waiter, service, reason, now)?;
     }
 
     let entry = enqueue(gateway, request, tried, waiter, now)?;
 
     // A free slot that the requests queued before could not use may suit the new head of the
     // queue.
-    let is_next = |state: &mut QueueState| state.queue.peek(now).map(|(ticket, _)| ticket);
-    if !is_first && gateway.waiting.with(service, is_next).flatten() == Some(entry.ticket) {
-        assignment::assign_places(gateway, service);
+    let head = |state: &mut QueueState| state.queue.peek(now).map(|(ticket, _)| ticket);
+    if !is_queue_empty && gateway.waiting.with(service, head).flatten() == Some(entry.ticket) {
+        assignment::assign_slots(gateway, service);
     }
 
     Ok(Acquisition::Queued(entry))
 }
 
-/// Rejects requests that cannot be in time behind those ahead of them: the new request, or less
+/// Refuses requests that cannot be in time behind those ahead of them: the new request, or less
 /// urgent queued ones. Their callers are told while a retry can still be in time. Applies only if
 /// all slots are taken or all targets are rate-limited, as the rate during an outage says nothing
 /// about the wait.
-fn reject_late(
+fn refuse_late(
     gateway: &Rc<Gateway>,
     waiter: &Waiter,
     service: &str,
@@ -119,16 +119,16 @@
         .with(service, |state| state.queue.newest_too_late(waiter.urgency, now))
         .flatten()
     {
-        assignment::answer_waiter(gateway, service, ticket, Err(NoSlot::Outranked(wait)), now);
+        assignment::dequeue_and_reply(gateway, service, ticket, Err(NoSlot::Outranked(wait)), now);
     }
 
     Ok(())
 }
 
 fn uses_urgency_order(gateway: &Gateway, service: &str) -> bool {
-    let uses_urgency_order = |state: &mut QueueState| state.queue.order() == Order::Urgency;
+    let is_by_urgency = |state: &mut QueueState| state.queue.order() == Order::Urgency;
 
-    gateway.waiting.with(service, uses_urgency_order).unwrap_or(false)
+    gateway.waiting.with(service, is_by_urgency).unwrap_or(false)
 }
 
 fn waiter(
@@ -171,7 +171,7 @@
     if let Some(ticket) =
         gateway.waiting.with(service, |state| state.queue.eviction_candidate(urgency)).flatten()
     {
-        assignment::answer_waiter(gateway, service, ticket, Err(NoSlot::Full), now);
+        assignment::dequeue_and_reply(gateway, service, ticket, Err(NoSlot::Full), now);
     }
 
     let pushed = gateway.waiting.with(service, |state| {
--- a/grebedeck/src/gateway/hold.rs
+++ b/grebedeck/src/gateway/hold.rs
@@ -32,22 +32,22 @@
 }
 
 /// Whether the request can meet its objective on some target. If not, a refusal does not help it,
-/// and only less urgent requests should be rejected to make room.
+/// and only less urgent requests should be refused to make room.
 pub fn can_meet_objective(gateway: &Gateway, request: &RoutedRequest) -> bool {
     let objective = request.admitted.rule.objective;
 
     gateway.max_slot_wait(&request.service, objective) > WaitLimitOptions::default().min_wait
 }
 
-/// Initial deadline of a request's wait.
+/// Initial expiry of a request's wait.
 ///
 /// Where requests differ in urgency, the more urgent ones wait longer than the least urgent, whose
 /// callers are refused first: at least as long as less urgent ones may wait, and for
-/// [`URGENT_WAIT_PART`] of their objective if they are late in any case. On a day with three
-/// overlapping bursts, all requests were given up after 20 ms, within which the order has no
+/// [`URGENT_WAIT_FRACTION`] of their objective if they are late in any case. On a day with three
+/// overlapping bursts, the wait of all requests expired after 20 ms, within which the order has no
 /// effect: of those queued at three gateways, 61 in 100 of the most urgent and 54 in 100 of the
 /// least urgent were refused.
-pub fn give_up_at(gateway: &Gateway, request: &RoutedRequest, start_by: Moment) -> Moment {
+pub fn initial_expiry(gateway: &Gateway, request: &RoutedRequest, start_by: Moment) -> Moment {
     let (service, rule) = (&request.service, &request.admitted.rule);
     let table = gateway.table();
     let outranks = table.has_less_urgent(service, request.admitted.urgency());
@@ -63,31 +63,37 @@
     (request.request.arrived + patience).max(start_by).min(request.deadline)
 }
 
-/// Until when a request without a slot keeps waiting; `None` if it is to be given up now.
+/// Expiry of the wait of a request that would otherwise expire at `expires_at`; `None` if it is to
+/// be refused now.
 pub fn held_until(
     gateway: &Gateway,
     request: &RoutedRequest,
     reason: NoSlot,
-    give_up: Moment,
+    expires_at: Moment,
     now: Moment,
 ) -> Option<Moment> {
-    let is_held_longer = min_hold_until(gateway, reason, request, now) > give_up;
+    let is_held_longer = min_hold_until(gateway, reason, request, now) > expires_at;
     // After waiting for longer than a refusal is of use, a late response is better than none.
     let longest = (request.request.arrived + MAX_HOLD).min(request.deadline);
-    let give_up = if is_held_longer { longest } else { give_up };
+    let expires_at = if is_held_longer { longest } else { expires_at };
     let is_outage_overdue = gateway.is_outage_overdue(&request.service);
-    let is_wait_futile = reason.is_wait_futile(is_outage_overdue, give_up, now)
-        && !waits_for_delay(request, reason, give_up, now);
+    let is_wait_futile = reason.is_wait_futile(is_outage_overdue, expires_at, now)
+        && !waits_for_delay(request, reason, expires_at, now);
 
-    (now < give_up && !is_wait_futile).then_some(give_up)
+    (now < expires_at && !is_wait_futile).then_some(expires_at)
 }
 
 /// Whether a request waits until a target's requested delay is over, because its caller already has
 /// a part of the stream, which would be truncated.
-fn waits_for_delay(request: &RoutedRequest, reason: NoSlot, give_up: Moment, now: Moment) -> bool {
+fn waits_for_delay(
+    request: &RoutedRequest,
+    reason: NoSlot,
+    expires_at: Moment,
+    now: Moment,
+) -> bool {
     let has_begun = request.last_event_id.get().is_some();
 
-    has_begun && matches!(reason, NoSlot::DelayRequested(left) if now + left <= give_up)
+    has_begun && matches!(reason, NoSlot::DelayRequested(left) if now + left <= expires_at)
 }
 
 /// Moment until which a request is held at least, given why there is no slot.
--- a/grebedeck/src/gateway/limits.rs
+++ b/grebedeck/src/gateway/limits.rs
@@ -74,10 +74,10 @@
         let change =
             self.limits.limits.borrow_mut().observe(target, announced, is_success, sent_at, now);
 
-        self.report_limit_change(target, change, "target");
+        self.record_limit_change(target, change, "target");
     }
 
-    pub(super) fn report_limit_change(
+    pub(super) fn record_limit_change(
         &self,
         target: &TargetEntry,
         change: LimitChange,
@@ -134,7 +134,7 @@
         targets.iter().filter(|target| limits.may_send(target, now)).cloned().collect()
     }
 
-    /// Returns the targets without a limit, which have their full capacity; all if all are limited.
+    /// Returns the targets without a rate limit; all if all are limited.
     pub(super) fn without_limited(
         &self,
         targets: Arc<[Arc<TargetEntry>]>,
--- a/grebedeck/src/gateway/pace.rs
+++ b/grebedeck/src/gateway/pace.rs
@@ -70,11 +70,11 @@
         paces.get(service).map_or(full, |pace| pace.allowed_load(load, slowdown, full, now))
     }
 
-    /// Expected time until enough running requests have ended for the service's targets to have
-    /// room.
+    /// Expected time until enough running requests have ended for one of the service's targets to
+    /// have a free slot.
     pub fn expected_slot_wait(&self, service: &str) -> Duration {
         let now = self.now();
-        let targets = self.at_full_capacity(&self.candidates(service), now);
+        let targets = self.without_cold_or_limited(&self.candidates(service), now);
         let allowed = self.allowed_load(service, &targets, now);
         let load = self.chooser.borrow().mean_load(&targets, now);
         // If the mean load is low enough, the next request that ends frees a slot.
@@ -85,14 +85,18 @@
 
     /// Delay after which the caller of a refused request should return; `None` unless the service's
     /// queue is ordered by urgency and its rate is known.
-    pub fn scheduled_return(&self, request: &RoutedRequest, first: Duration) -> Option<Duration> {
+    pub fn scheduled_return(
+        &self,
+        request: &RoutedRequest,
+        first_slot_in: Duration,
+    ) -> Option<Duration> {
         let now = self.now();
         let left = request.deadline.saturating_sub(now);
 
         self.waiting.scheduled_return(
             &request.service,
             request.admitted.urgency(),
-            first,
+            first_slot_in,
             left,
             now,
         )
--- a/grebedeck/src/gateway/quota.rs
+++ b/grebedeck/src/gateway/quota.rs
@@ -266,7 +266,7 @@
             let mut limits = self.limits.limits.borrow_mut();
             let change = limits.apply(&target, grant, PERMIT_LIFETIME, requested_at, now);
             drop(limits);
-            self.report_limit_change(&target, change, "gateway");
+            self.record_limit_change(&target, change, "gateway");
         }
 
         if permits > 0 {
--- a/grebedeck/src/gateway/slot.rs
+++ b/grebedeck/src/gateway/slot.rs
@@ -82,21 +82,21 @@
         gateway.permit_wait(service, 0).map_or(NoSlot::Full, NoSlot::RateLimited)
     }
 
-    /// Whether waiting until `give_up` is pointless because the reason will outlast it.
+    /// Whether waiting until `expires_at` is pointless because the reason will outlast it.
     ///
     /// If callers of a group that never forms are held for their whole objective and then refused,
     /// a day with such a group loses 0.78 of its value, and 0.34 with refusals at once. An outage
     /// counts only once it is overdue, that is, has lasted longer than expected, as a service may
     /// be back sooner than estimated: with refusals at once in every outage, a day of two-second
-    /// outages lost 0.046 of its value, over four seeds. Nobody knows when operators will take an
-    /// evacuated hall back.
-    pub fn is_wait_futile(self, is_overdue: bool, give_up: Moment, now: Moment) -> bool {
+    /// outages lost 0.046 of its value, over four seeds. Nobody knows when operators will reopen an
+    /// evacuated hall.
+    pub fn is_wait_futile(self, is_overdue: bool, expires_at: Moment, now: Moment) -> bool {
         match self {
-            NoSlot::Out(left) => is_overdue && now + left > give_up,
+            NoSlot::Out(left) => is_overdue && now + left > expires_at,
             // Targets that ask for a delay state its length, so callers that are refused at once
             // can return in time.
             NoSlot::Evacuated | NoSlot::DelayRequested(_) | NoSlot::Quarantined(_) => true,
-            // A request whose wait would be too long is rejected before it enters the queue.
+            // A request whose wait would be too long is refused before it enters the queue.
             NoSlot::RateLimited(_) => false,
             NoSlot::NoTargets | NoSlot::Full | NoSlot::PromptLimited(_) | NoSlot::Outranked(_) => {
                 false
@@ -162,7 +162,7 @@
     // First attempts, retries and resumed streams all pass this check. A request that crashes
     // targets and is sent on after each crash takes down target after target, and their group is
     // out for as long as the request keeps coming.
-    let found = match gateway.await_clearance(request).await {
+    let acquired = match gateway.await_clearance(request).await {
         Ok(()) => match enqueue::acquire_or_enqueue(gateway, request, tried) {
             Ok(Acquisition::Acquired(slot)) => Ok(slot),
             Ok(Acquisition::Queued(entry)) => entry.wait().await,
@@ -173,7 +173,7 @@
     let now = gateway.now();
     let counters = &gateway.counters;
 
-    match &found {
+    match &acquired {
         Ok(_) => {
             counters.waits.record(now - began, "placed");
             counters.admitted.add(urgency_label(request.admitted.rule.priority));
@@ -181,15 +181,20 @@
         Err(reason) => {
             counters.waits.record(now - began, reason.word());
             counters.refusals.add(reason.word());
-            request.trace.add(now, no_slot(gateway, request, *reason, now));
+            request.trace.add(now, no_slot_decision(gateway, request, *reason, now));
         }
     }
 
-    found
+    acquired
 }
 
-fn no_slot(gateway: &Gateway, request: &RoutedRequest, reason: NoSlot, now: Moment) -> Decision {
-    let candidates = gateway.at_full_capacity(&gateway.candidates(&request.service), now);
+fn no_slot_decision(
+    gateway: &Gateway,
+    request: &RoutedRequest,
+    reason: NoSlot,
+    now: Moment,
+) -> Decision {
+    let candidates = gateway.without_cold_or_limited(&gateway.candidates(&request.service), now);
 
     Decision::NoSlot {
         reason,
@@ -262,11 +267,11 @@
 ) -> Result<(Vec<Arc<TargetEntry>>, f64), NoSlot> {
     let serving = gateway.serving(&request.service).ok_or(NoSlot::NoTargets)?;
     let candidates = gateway.candidates(&request.service);
-    let at_full_capacity = gateway.at_full_capacity(&candidates, now);
-    // A resumed stream has given up a slot for this one.
+    let unrestricted = gateway.without_cold_or_limited(&candidates, now);
+    // A resumed stream has released its slot on another target.
     let load_limit = match is_resumed_stream(request, tried) {
         true => gateway.settings().load.model,
-        false => gateway.allowed_load(&request.service, &at_full_capacity, now),
+        false => gateway.allowed_load(&request.service, &unrestricted, now),
     };
     let mut accepting = accepting(gateway, &candidates, tried, now);
 
@@ -304,7 +309,7 @@
     !tried.is_empty() && request.last_event_id.get().is_some()
 }
 
-/// Whether a stream could continue on a target that it has not been on.
+/// Whether a target that the stream has not been sent to has a free slot.
 pub fn has_free_slot(gateway: &Gateway, request: &RoutedRequest, tried: &[TargetId]) -> bool {
     let found = eligible(gateway, request, tried, gateway.now());
 
--- a/grebedeck/src/gateway/suspects.rs
+++ b/grebedeck/src/gateway/suspects.rs
@@ -3,7 +3,7 @@
 //! When an attempt breaks, the gateway probes the target.
 //! [`Quarantine`](grebedeck_routing::Quarantine) decides whether that was a crash, which requests
 //! are suspected of it, and which are quarantined. A request is checked at three points:
-//! before it looks for a place on a target, as retries and resumed streams do too; in the queue,
+//! before it looks for a slot on a target, as retries and resumed streams do too; in the queue,
 //! when a decision on it is made; and once its connection to the target is established.
 
 use std::rc::Rc;
@@ -245,7 +245,7 @@
     }
 
     /// Records that a request was quarantined, and refuses those of its copies that wait for a
-    /// place.
+    /// slot.
     fn record_quarantined(&self, fingerprint: Fingerprint, crashes: usize, from: &'static str) {
         self.counters.quarantine.add("quarantined");
         log::warn!("request quarantined", kv: { fingerprint = to_hex(fingerprint), crashes, from });
@@ -258,7 +258,7 @@
 
             if let Clearance::Refuse(left) = self.clearance(&request) {
                 let reason = NoSlot::Quarantined(left);
-                assignment::answer_waiter(self, &service, ticket, Err(reason), now);
+                assignment::dequeue_and_reply(self, &service, ticket, Err(reason), now);
             }
         }
     }
--- a/grebedeck/src/gateway/wait_queues.rs
+++ b/grebedeck/src/gateway/wait_queues.rs
@@ -44,7 +44,7 @@
 pub(super) struct QueueState {
     /// Waiting requests, in order.
     pub queue: Queue<QueuedRequest>,
-    /// Return times given to refused callers.
+    /// Times at which refused callers were told to return.
     pub retry_slots: RetrySlots,
     /// Whether a task is assigning slots.
     pub has_task: bool,
@@ -69,7 +69,7 @@
 impl QueueEntry {
     /// Waits for the slot, or for the reason why there is none.
     pub async fn wait(mut self) -> Result<Slot, NoSlot> {
-        // A waiter is answered before its entry is dropped; a closed channel means that its service
+        // A request gets its reply before the sender is dropped; a closed channel means that its service
         // is gone.
         (&mut self.reply).await.unwrap_or(Err(NoSlot::NoTargets))
     }
@@ -78,10 +78,10 @@
 impl Drop for QueueEntry {
     fn drop(&mut self) {
         let now = self.gateway.now();
-        let left =
+        let removed =
             self.gateway.waiting.with(&self.service, |state| state.queue.remove(self.ticket, now));
 
-        if let Some((waiter, _)) = left.flatten() {
+        if let Some((waiter, _)) = removed.flatten() {
             self.gateway.counters.waiting.decrement(waiter.urgency);
         }
     }
@@ -89,15 +89,15 @@
 
 impl WaitQueues {
     /// Applies the queue orders of a configuration.
-    pub fn apply_table(&self, table: &RouteTable, by_urgency: bool) {
+    pub fn apply_table(&self, table: &RouteTable, is_urgency_order_enabled: bool) {
         let mut queues = self.queues.borrow_mut();
         queues.retain(|service, state| {
             !state.queue.is_empty() || state.has_task || table.service(service).is_some()
         });
 
         for (service, state) in queues.iter_mut() {
-            let is_ranked = by_urgency && table.has_urgency_levels(service);
-            state.queue.set_options(options(table, is_ranked, service));
+            let uses_urgency_order = is_urgency_order_enabled && table.has_urgency_levels(service);
+            state.queue.set_options(options(table, uses_urgency_order, service));
         }
     }
 
@@ -121,7 +121,7 @@
         &self,
         service: &str,
         urgency: Urgency,
-        first: Duration,
+        first_slot_in: Duration,
         left: Duration,
         now: Moment,
     ) -> Option<Duration> {
@@ -129,7 +129,8 @@
         let delay = |state: &mut QueueState| {
             let rate_per_s =
                 state.queue.grants_per_s().filter(|_| state.queue.order() == Order::Urgency)?;
-            let expected = ExpectedCapacity { first_place_in: first, rate_per_s, time_left: left };
+            let expected =
+                ExpectedCapacity { first_place_in: first_slot_in, rate_per_s, time_left: left };
 
             Some(state.retry_slots.retry_after(urgency, expected, now, &mut random))
         };
@@ -182,12 +183,12 @@
     }
 
     /// Creates the queue of a service if it has none.
-    pub(super) fn ensure_queue(&self, table: &RouteTable, is_ranked: bool, service: &str) {
+    pub(super) fn ensure_queue(&self, table: &RouteTable, uses_urgency_order: bool, service: &str) {
         let mut queues = self.queues.borrow_mut();
 
         if !queues.contains_key(service) {
             let state = QueueState {
-                queue: Queue::new(options(table, is_ranked, service)),
+                queue: Queue::new(options(table, uses_urgency_order, service)),
                 retry_slots: RetrySlots::default(),
                 has_task: false,
                 obstacle: Obstacle { reason: NoSlot::Full, is_overdue: false },
@@ -198,10 +199,10 @@
 }
 
 /// Settings of a service's queue.
-fn options(table: &RouteTable, is_ranked: bool, service: &str) -> QueueOptions {
+fn options(table: &RouteTable, uses_urgency_order: bool, service: &str) -> QueueOptions {
     let engine = table.service(service).and_then(|s| s.engine.as_ref());
     let usual = |engine: &EngineSpec| engine.usual_prompt + engine.usual_answer;
-    let order = if is_ranked { Order::Urgency } else { Order::Arrival };
+    let order = if uses_urgency_order { Order::Urgency } else { Order::Arrival };
 
     QueueOptions { order, turn_tokens: engine.map_or(1, usual).max(1), ..QueueOptions::default() }
 }
