--- a/grebedeck/src/gateway/attempt.rs
+++ b/grebedeck/src/gateway/attempt.rs
@@ -13,7 +13,7 @@
 
 use super::attempt_history::{AttemptFailure, FailureCause, Refusal};
 use super::open_response::{OpenResponse, SentRequest};
-use super::options::{CONNECT_TIMEOUT, MAX_ANSWER_HEAD_BYTES, SOCKET_BUFFER_BYTES};
+use super::options::{CONNECT_TIMEOUT, MAX_RESPONSE_HEAD_BYTES, SOCKET_BUFFER_BYTES};
 use super::refusing::refusal_cause;
 use super::request::RoutedRequest;
 use super::service::Gateway;
@@ -133,9 +133,9 @@
 
     // The request may have been found to crash targets, or the target may have left, while the
     // request waited for its slot or the connection.
-    let is_stopped = !gateway.may_still_send(target) || !gateway.acquire_clearance(request);
+    let is_withdrawn = !gateway.may_still_send(target) || !gateway.acquire_clearance(request);
 
-    if is_stopped || !gateway.confirm_permit(target, permit) {
+    if is_withdrawn || !gateway.confirm_permit(target, permit) {
         connection.end_exchange();
         return Err(AttemptFailure::not_run(FailureCause::Withdrawn));
     }
@@ -221,7 +221,7 @@
 /// Reads a head that is not interim (1xx).
 async fn read_final_head(connection: &mut Connection) -> Result<ResponseHead, HttpError> {
     loop {
-        let head = connection.read_response_head(MAX_ANSWER_HEAD_BYTES).await?;
+        let head = connection.read_response_head(MAX_RESPONSE_HEAD_BYTES).await?;
 
         if head.status >= 200 {
             return Ok(head);
--- a/grebedeck/src/gateway/buffered.rs
+++ b/grebedeck/src/gateway/buffered.rs
@@ -126,7 +126,7 @@
     let mut attempts = Attempts::default();
 
     match timeout(left, attempts.run(gateway, request)).await {
-        Ok(answer) => answer,
+        Ok(response) => response,
         Err(_) => {
             let reason = NoSlot::after_attempts(gateway, &request.service);
             attempts.give_up(gateway, request, reason)
@@ -137,7 +137,7 @@
 /// Attempts of one request.
 #[derive(Default)]
 struct Attempts {
-    tried: AttemptHistory,
+    history: AttemptHistory,
     /// Failure reported by a target, which the caller gets unless a later attempt succeeds.
     failure: Option<BufferedResponse>,
 }
@@ -149,18 +149,18 @@
         request: &Rc<RoutedRequest>,
     ) -> BufferedResponse {
         loop {
-            let slot = match slot::acquire(gateway, request, self.tried.targets()).await {
+            let slot = match slot::acquire(gateway, request, self.history.targets()).await {
                 Ok(slot) => slot,
                 Err(reason) => return self.give_up(gateway, request, reason),
             };
 
-            self.tried.record_start(&slot.target);
+            self.history.record_start(&slot.target);
 
             match self.attempt(gateway, request, slot).await {
-                Ok((answer, Verdict::Failure)) => self.failure = Some(answer),
-                Ok((answer, _)) => return answer,
+                Ok((response, Verdict::Failure)) => self.failure = Some(response),
+                Ok((response, _)) => return response,
                 Err(failure) => {
-                    if !self.tried.record_failure(&failure) {
+                    if !self.history.record_failure(&failure) {
                         continue;
                     }
 
@@ -173,7 +173,7 @@
                 }
             }
 
-            if !gateway.authorize_retry(request, &self.tried) {
+            if !gateway.authorize_retry(request, &self.history) {
                 let reason = NoSlot::after_attempts(gateway, &request.service);
                 return self.give_up(gateway, request, reason);
             }
@@ -199,7 +199,7 @@
 
         match opened.read_whole().await {
             Ok((head, body)) => {
-                gateway.record_answer_time(&request.service, gateway.now() - began);
+                gateway.record_response_time(&request.service, gateway.now() - began);
                 Ok((BufferedResponse::from_target(head, body), verdict))
             }
             Err(cause) => {
@@ -217,7 +217,7 @@
         request: &RoutedRequest,
         reason: NoSlot,
     ) -> BufferedResponse {
-        let run = self.tried.run_state();
+        let run = self.history.run_state();
         let is_late = request.is_past_deadline(gateway.now());
 
         match self.failure.take() {
--- a/grebedeck/src/gateway/caller.rs
+++ b/grebedeck/src/gateway/caller.rs
@@ -120,21 +120,21 @@
 
     if gateway.stop.refuses_requests(leave, gateway.now()) {
         gateway.counters.refusals.add("stopping");
-        let answer = BufferedResponse::not_ready(&request, &gateway.names);
-        return write_buffered(gateway, connection, answer, Reuse::Close).await;
+        let response = BufferedResponse::not_ready(&request, &gateway.names);
+        return write_buffered(gateway, connection, response, Reuse::Close).await;
     }
 
     let admitted = match table.admit(host, request.head.path(), key) {
         Ok(admitted) => admitted,
         Err(reason) => {
-            let answer = deny(gateway, &request, reason, table.version());
-            return write_buffered(gateway, connection, answer, reuse).await;
+            let response = deny(gateway, &request, reason, table.version());
+            return write_buffered(gateway, connection, response, reuse).await;
         }
     };
 
     let Some(service) = draw_service(&admitted.rule, &mut ProcessRandom::default()) else {
-        let answer = deny(gateway, &request, Denied::NoRoute, table.version());
-        return write_buffered(gateway, connection, answer, reuse).await;
+        let response = deny(gateway, &request, Denied::NoRoute, table.version());
+        return write_buffered(gateway, connection, response, reuse).await;
     };
     let service = service.to_string();
     let by_urgency = gateway.uses(Mechanism::UrgencyOrder);
@@ -156,26 +156,26 @@
     connection: &mut Connection,
     reuse: Reuse,
 ) -> Reuse {
-    let answered = {
-        let answering = buffered::serve(gateway, routed);
+    let response = {
+        let serving = buffered::serve(gateway, routed);
         futures::select! {
-            answer = answering.fuse() => Some(answer),
+            response = serving.fuse() => Some(response),
             // Dropping the attempt resets the connection to the target, so the target drops the
             // request.
             () = connection.wait_closed(READ_AHEAD_BYTES).fuse() => None,
         }
     };
 
-    let Some(answer) = answered else {
+    let Some(response) = response else {
         gateway.record_end(&routed.trace, Outcome::CallerGone, false);
         return Reuse::Close;
     };
     let took = gateway.now() - routed.request.arrived;
-    gateway.counters.answer_times.record(took, "whole");
-    let end = answer.outcome();
-    let written = write_answer(gateway, connection, answer, reuse).await;
+    gateway.counters.response_times.record(took, "whole");
+    let outcome = response.outcome();
+    let written = write_response(gateway, connection, response, reuse).await;
     let is_late = took > routed.admitted.rule.objective;
-    record_written(gateway, routed, end, written, is_late);
+    record_written(gateway, routed, outcome, written, is_late);
 
     if written == WriteOutcome::Complete { reuse } else { Reuse::Close }
 }
@@ -184,12 +184,12 @@
 fn record_written(
     gateway: &Gateway,
     routed: &Rc<RoutedRequest>,
-    end: Outcome,
+    outcome: Outcome,
     written: WriteOutcome,
     is_late: bool,
 ) {
     if !matches!(written, WriteOutcome::Stalled | WriteOutcome::TimedOut) {
-        return gateway.record_end(&routed.trace, end, is_late);
+        return gateway.record_end(&routed.trace, outcome, is_late);
     }
 
     gateway.counters.unread.add("answer_stalled");
@@ -204,13 +204,13 @@
     reason: Denied,
     version: SiteVersion,
 ) -> BufferedResponse {
-    let answer = BufferedResponse::denied(reason, request, &gateway.names);
+    let response = BufferedResponse::denied(reason, request, &gateway.names);
     let trace = Trace::new(request.id(&gateway.names), request.arrived);
     trace.add(gateway.now(), Decision::Denied { reason, version });
     gateway.counters.refusals.add(reason.label());
-    gateway.record_end(&trace, answer.outcome(), false);
+    gateway.record_end(&trace, response.outcome(), false);
 
-    answer
+    response
 }
 
 /// Routing table in force; waits briefly for the first one after the process started.
@@ -315,23 +315,23 @@
 pub async fn write_buffered(
     gateway: &Gateway,
     connection: &Connection,
-    answer: BufferedResponse,
+    response: BufferedResponse,
     reuse: Reuse,
 ) -> Reuse {
-    match write_answer(gateway, connection, answer, reuse).await {
+    match write_response(gateway, connection, response, reuse).await {
         WriteOutcome::Complete => reuse,
         _ => Reuse::Close,
     }
 }
 
-async fn write_answer(
+async fn write_response(
     gateway: &Gateway,
     connection: &Connection,
-    answer: BufferedResponse,
+    response: BufferedResponse,
     reuse: Reuse,
 ) -> WriteOutcome {
     let until = gateway.now() + WRITE_LIMIT;
-    let (bytes, body) = answer.into_parts(reuse);
+    let (bytes, body) = response.into_parts(reuse);
     let written = writer::write(gateway, connection, &bytes, until).await;
 
     match body {
--- a/grebedeck/src/gateway/counters.rs
+++ b/grebedeck/src/gateway/counters.rs
@@ -56,7 +56,7 @@
     pub waiting: WaitingCounts,
     /// Streams that were resumed on another target, by outcome.
     pub resumes: Counter,
-    /// Answers and bodies abandoned because nobody reads them, by kind.
+    /// Responses and bodies abandoned because nobody reads them, by kind.
     pub unread: Counter,
     /// Retries by whether the budget allowed them, or the reason why not.
     pub retries: Counter,
@@ -64,10 +64,10 @@
     pub store_calls: Counter,
     /// Calls for the contents of the store, by where they were sent.
     pub sources: Counter,
-    /// Answers of other gateways while the store was unavailable, by outcome.
-    pub peer_answers: Counter,
-    /// Halls that were evacuated or taken back.
-    pub hall_news: Counter,
+    /// Responses of other gateways while the store was unavailable, by outcome.
+    pub peer_responses: Counter,
+    /// Halls that were evacuated or reopened.
+    pub hall_events: Counter,
     /// Starts of targets and faults in their entries, by kind.
     pub starts: Counter,
     /// Requests sent to cold targets, and selections that skipped some, by kind.
@@ -80,8 +80,8 @@
     pub quarantine: Counter,
     /// Suppressed log lines, by kind.
     pub suppressed_lines: Counter,
-    /// Time until an answer was complete, by kind of route.
-    pub answer_times: Histogram,
+    /// Time until a response was complete, by kind of route.
+    pub response_times: Histogram,
     /// Time until a stream's first event.
     pub first_event_times: Histogram,
     /// Pauses between the events of streams.
@@ -148,12 +148,12 @@
                 "source",
                 "Calls for what the store holds, by whom they went to",
             ),
-            peer_answers: counter(
+            peer_responses: counter(
                 "grebedeck_gateway_peer_answers",
                 "end",
                 "Answers of other gateways while the store was away",
             ),
-            hall_news: counter(
+            hall_events: counter(
                 "grebedeck_gateway_hall_news",
                 "word",
                 "Halls that were evacuated or taken back",
@@ -188,7 +188,7 @@
                 "kind",
                 "Requests whose decisions were not logged, as too many were",
             ),
-            answer_times: histogram(
+            response_times: histogram(
                 "grebedeck_gateway_answer_seconds",
                 "kind",
                 "Time until an answer was whole",
--- a/grebedeck/src/gateway/dump.rs
+++ b/grebedeck/src/gateway/dump.rs
@@ -60,7 +60,7 @@
             "limits": self.coordinators_dump(now),
             "evacuated": evacuated_view(targets.evacuations()),
             "halls_version": targets.evacuations().version(),
-            "kept_bytes": { "bodies": self.bodies.dump(), "answers": self.answers.dump() },
+            "kept_bytes": { "bodies": self.bodies.dump(), "answers": self.responses.dump() },
             "crashes": crashes,
             "suspects": suspects,
             "quarantine": quarantined.collect::<Vec<_>>(),
--- a/grebedeck/src/gateway/halls.rs
+++ b/grebedeck/src/gateway/halls.rs
@@ -34,7 +34,7 @@
 }
 
 impl OperatorView {
-    /// Returns whether the evacuations have been read, or received from another gateway.
+    /// Returns whether the statuses of halls have been read, or received from another gateway.
     pub fn has_hall_statuses(&self) -> bool {
         self.has_hall_statuses.get()
     }
@@ -74,7 +74,7 @@
             halls.apply_snapshot(version, &evacuated, since, now)
         });
         self.operator.has_hall_statuses.set(true);
-        unreadable.iter().for_each(|what| self.log_unreadable_key(what));
+        unreadable.iter().for_each(|unreadable| self.log_unreadable_key(unreadable));
 
         if let Some(site) = site {
             self.apply_site(&site, "store");
@@ -103,7 +103,7 @@
                         halls.apply_change(version, &hall, false, now)
                     });
                 }
-                OperatorChange::Unreadable(what) => self.log_unreadable_key(&what),
+                OperatorChange::Unreadable(unreadable) => self.log_unreadable_key(&unreadable),
             }
         }
 
@@ -173,20 +173,20 @@
     fn record_hall_event(&self, event: &HallEvent, from: &'static str) {
         match event {
             HallEvent::Evacuated { hall, version } => {
-                self.counters.hall_news.add("evacuated");
+                self.counters.hall_events.add("evacuated");
                 log::info!("hall evacuated", kv: {
                     hall = hall.as_str(), version = *version, from,
                 });
             }
             HallEvent::Reopened { hall, version } => {
-                self.counters.hall_news.add("taken_back");
+                self.counters.hall_events.add("taken_back");
                 log::info!("hall reopened", kv: {
                     hall = hall.as_str(), version = *version, from,
                 });
                 self.assume_restarts_in(hall);
             }
             HallEvent::Dropped { hall, version } => {
-                self.counters.hall_news.add("left_out");
+                self.counters.hall_events.add("left_out");
                 self.log_unreadable_key(&Unreadable {
                     version: *version,
                     key: hall.clone(),
@@ -198,10 +198,12 @@
         self.slot_freed.notify(usize::MAX);
     }
 
-    fn log_unreadable_key(&self, what: &Unreadable) {
-        if self.operator.record_unreadable(what) {
+    fn log_unreadable_key(&self, unreadable: &Unreadable) {
+        if self.operator.record_unreadable(unreadable) {
             log::error!("refused", kv: {
-                what = what.key.as_str(), version = what.version, error = what.error.as_str(),
+                what = unreadable.key.as_str(),
+                version = unreadable.version,
+                error = unreadable.error.as_str(),
             });
         }
     }
--- a/grebedeck/src/gateway/health.rs
+++ b/grebedeck/src/gateway/health.rs
@@ -33,7 +33,7 @@
 
     /// Returns whether any rank has reported its load.
     pub fn receives_rank_loads(&self) -> bool {
-        self.hears_ranks.get()
+        self.receives_rank_loads.get()
     }
 
     pub(super) fn is_model(&self, service: &str) -> bool {
@@ -42,7 +42,7 @@
 
     /// Records the load, speed and group state that a rank process reports.
     pub fn record_rank_load(&self, address: SocketAddr, load: &RankLoad) {
-        self.hears_ranks.set(true);
+        self.receives_rank_loads.set(true);
         let found = self.targets.borrow().newest_at(address);
         let Some(target) = found else {
             return;
--- a/grebedeck/src/gateway/open_response.rs
+++ b/grebedeck/src/gateway/open_response.rs
@@ -10,7 +10,7 @@
 use super::attempt::InFlight;
 use super::attempt_history::FailureCause;
 use super::buffer::Buffer;
-use super::options::{ANSWER_MEMORY_WAIT, MAX_BUFFERED_ANSWER_BYTES};
+use super::options::{MAX_BUFFERED_RESPONSE_BYTES, RESPONSE_MEMORY_WAIT};
 use super::request::RoutedRequest;
 use super::service::Gateway;
 
@@ -47,30 +47,31 @@
         let next = self.next_part().await;
 
         next.map_err(|_| {
-            self.note_broken();
+            self.record_broken_attempt();
             FailureCause::Broken
         })
     }
 
     /// Reads the whole body within the memory budget for responses, and returns the connection to
-    /// the pool. While there is no memory the target is not read from; after [`MEMORY_WAIT`] the
+    /// the pool. While there is no memory the target is not read from; after [`RESPONSE_MEMORY_WAIT`] the
     /// attempt fails.
     pub async fn read_whole(mut self) -> Result<(ResponseHead, Buffer), FailureCause> {
-        let mut body = Buffer::new(&self.gateway.answers);
+        let mut body = Buffer::new(&self.gateway.responses);
         // A known length is reserved at once, so that no two responses wait for each other's
         // memory.
-        let len_bytes = self.decoder.remaining_bytes().unwrap_or(0).min(MAX_BUFFERED_ANSWER_BYTES);
+        let len_bytes =
+            self.decoder.remaining_bytes().unwrap_or(0).min(MAX_BUFFERED_RESPONSE_BYTES);
 
-        if !body.reserve(len_bytes, ANSWER_MEMORY_WAIT).await {
+        if !body.reserve(len_bytes, RESPONSE_MEMORY_WAIT).await {
             return Err(FailureCause::NoMemory);
         }
 
         while let Some(part) = self.next_body_part().await? {
-            if body.len() + part.len() > MAX_BUFFERED_ANSWER_BYTES {
+            if body.len() + part.len() > MAX_BUFFERED_RESPONSE_BYTES {
                 return Err(FailureCause::Broken);
             }
 
-            if !body.push(&part) && !body.push_with_wait(&part, ANSWER_MEMORY_WAIT).await {
+            if !body.push(&part) && !body.push_with_wait(&part, RESPONSE_MEMORY_WAIT).await {
                 return Err(FailureCause::NoMemory);
             }
         }
@@ -106,10 +107,10 @@
     /// Ends an attempt whose response broke.
     pub fn record_broken(mut self) {
         self.in_flight.record_outcome(false);
-        self.note_broken();
+        self.record_broken_attempt();
     }
 
-    fn note_broken(&self) {
+    fn record_broken_attempt(&self) {
         let SentRequest { request, target, sent_at } = &self.sent;
 
         self.gateway.record_broken_attempt(request, target, *sent_at);
--- a/grebedeck/src/gateway/options.rs
+++ b/grebedeck/src/gateway/options.rs
@@ -19,21 +19,21 @@
 /// Timeout of connecting to a target: a few round trips between halls, and less than the second
 /// after which a lost SYN is retransmitted.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// Maximum length of the head of a target's answer.
-pub const MAX_ANSWER_HEAD_BYTES: usize = 64 << 10;
-/// Maximum length of an answer that is read completely before it is sent to the caller.
-pub const MAX_BUFFERED_ANSWER_BYTES: usize = 8 << 20;
+/// Maximum length of the head of a target's response.
+pub const MAX_RESPONSE_HEAD_BYTES: usize = 64 << 10;
+/// Maximum length of a response that is read completely before it is sent to the caller.
+pub const MAX_BUFFERED_RESPONSE_BYTES: usize = 8 << 20;
 /// Maximum length of an event in a resumable stream; an event contains a few tokens.
 pub const MAX_EVENT_BYTES: usize = 256 << 10;
-/// How long an answer waits for memory before it is abandoned. Targets cut off answers that stay
+/// How long a response waits for memory before it is abandoned. Targets cut off responses that stay
 /// unread for some seconds.
-pub const ANSWER_MEMORY_WAIT: Duration = Duration::from_secs(1);
+pub const RESPONSE_MEMORY_WAIT: Duration = Duration::from_secs(1);
 /// Retry time given to a caller if there is no memory for its body; the memory of slow callers has
 /// been released by then.
 pub const NO_MEMORY_RETRY_AFTER: Duration = Duration::from_millis(500);
 /// Size of the socket buffers: receive buffers of connections to targets, send and receive buffers
 /// of callers' connections. The kernel allocates twice as much. It holds about a hundred events, or
-/// several complete answers; a target that sends more is blocked. Without a limit the kernel
+/// several complete responses; a target that sends more is blocked. Without a limit the kernel
 /// buffers up to 6 MB per connection.
 pub const SOCKET_BUFFER_BYTES: usize = 32 << 10;
 /// Bytes read ahead from a caller while its request is served: a single read, as up to
@@ -45,8 +45,8 @@
 /// Minimum interval over which the retries of callers that found all slots taken are spread:
 /// several forward passes, so that they do not all start in the same one.
 pub const MIN_RETRY_SPREAD: Duration = Duration::from_millis(200);
-/// Assumed time until an answer while none has been observed.
-pub const UNKNOWN_ANSWER_TIME: Duration = Duration::from_millis(500);
+/// Assumed time until a response while none has been observed.
+pub const UNKNOWN_RESPONSE_TIME: Duration = Duration::from_millis(500);
 /// Consecutive failures after which a service counts as out: more than a single bad target causes.
 pub const OUTAGE_FAILURES: u32 = 4;
 /// How long a group's own report on whether it is open takes precedence over the outcomes of
@@ -102,17 +102,17 @@
 /// half of the usual requests.
 pub const PLACEMENT_LAG: Duration = Duration::from_millis(600);
 /// Retry time given to callers while all targets of a service are in evacuated halls. Operators
-/// take a hall back after some seconds at the earliest.
+/// reopen a hall after some seconds at the earliest.
 pub const EVACUATED_RETRY_AFTER: Duration = Duration::from_millis(1000);
 /// How long a request is held at startup until the configuration is known.
 pub const CONFIGURATION_WAIT: Duration = Duration::from_millis(300);
-/// How much later than requested the store may answer before it counts as unavailable: more than an
-/// answer takes when the store is slow.
+/// How much later than requested the store may respond before it counts as unavailable: more than a
+/// response takes when the store is slow.
 const STORE_GRACE: Duration = Duration::from_millis(600);
 /// Remaining time below which a request is no longer sent to a target.
 pub const MIN_ATTEMPT_TIME: Duration = Duration::from_millis(5);
 
-/// Maximum fraction of the memory for buffered bodies and answers. The process itself takes some
+/// Maximum fraction of the memory for buffered bodies and responses. The process itself takes some
 /// 10 MB when idle, of 112 MB on the smallest machine.
 const MAX_KEPT_FRACTION: f64 = 0.75;
 
@@ -141,7 +141,7 @@
     pub seed_peers: Vec<SocketAddr>,
     /// Address of the platform's store.
     pub store_address: SocketAddr,
-    /// How long the store may be silent beyond the requested wait, before an answer and within it.
+    /// How long the store may be silent beyond the requested wait, before a response and within it.
     #[serde(default = "defaults::store_limit_ms")]
     pub store_limit_ms: u64,
     /// How long a target keeps running after it has announced that it is leaving.
@@ -170,7 +170,7 @@
     /// fast link reads the store for others.
     #[serde(default)]
     pub link_mbps: f64,
-    /// Fractions of `memory_mb` for bodies and answers that are buffered until they are read.
+    /// Fractions of `memory_mb` for bodies and responses that are buffered until they are read.
     #[serde(default)]
     pub kept: KeptSettings,
     /// Maximum number of callers' connections.
@@ -218,13 +218,13 @@
     }
 }
 
-/// Fractions of a process's memory for buffered bodies and answers.
+/// Fractions of a process's memory for buffered bodies and responses.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct KeptSettings {
     /// For request bodies, until the targets have read them.
     pub bodies: f64,
-    /// For answers, until the callers have read them.
+    /// For responses, until the callers have read them.
     pub answers: f64,
 }
 
@@ -293,13 +293,13 @@
 }
 
 impl GatewaySettings {
-    /// Age of the store's last answer from which the store counts as unavailable. An available
-    /// store answers at least after each wait for a change of the configuration.
+    /// Age of the store's last response from which the store counts as unavailable. An available
+    /// store responds at least after each wait for a change of the configuration.
     pub fn max_store_silence(&self) -> Duration {
         self.store_wait() + STORE_GRACE
     }
 
-    /// How long the store is asked to wait for a change. If an answer is lost, the watch waits for
+    /// How long the store is asked to wait for a change. If a response is lost, the watch waits for
     /// this long, so a third of the time to catch up remains for the next call.
     pub fn store_wait(&self) -> Duration {
         millis(self.catch_up_ms) * 2 / 3
@@ -386,7 +386,7 @@
 
 mod defaults {
     pub fn store_limit_ms() -> u64 {
-        // Answers take some milliseconds; after this time, asking a peer is faster.
+        // Responses take some milliseconds; after this time, asking a peer is faster.
         400
     }
 
--- a/grebedeck/src/gateway/pace.rs
+++ b/grebedeck/src/gateway/pace.rs
@@ -8,7 +8,7 @@
 use grebedeck_gateway::{EngineSpec, Pacing, PacingOptions, RouteRule, TargetEntry};
 
 use super::mechanism::Mechanism;
-use super::options::UNKNOWN_ANSWER_TIME;
+use super::options::UNKNOWN_RESPONSE_TIME;
 use super::request::RoutedRequest;
 use super::service::Gateway;
 
@@ -109,7 +109,7 @@
 
         match (engine.and_then(EngineSpec::usual_passes), self.mean_pause(service)) {
             (Some(passes), Some(pause)) => pause.mul_f64(passes),
-            _ => self.usual_answer_time(service).unwrap_or(UNKNOWN_ANSWER_TIME),
+            _ => self.usual_response_time(service).unwrap_or(UNKNOWN_RESPONSE_TIME),
         }
     }
 }
--- a/grebedeck/src/gateway/peers.rs
+++ b/grebedeck/src/gateway/peers.rs
@@ -2,7 +2,7 @@
 //!
 //! The store may reject single processes while it serves others and the operators. Such a process
 //! polls other gateways for their state: the seed peers of its settings, and the gateways that are
-//! published in the store. Their state is applied only if it is newer, as that of the store is.
+//! published in the store. What a peer sends is applied only if it is newer than the known state.
 
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -217,7 +217,7 @@
         // Seed peers and published gateways may be gone, so a failure is counted and not logged.
         Err(error) => {
             let is_protocol_error = matches!(error, Error::Protocol(_));
-            gateway.counters.peer_answers.add(if is_protocol_error {
+            gateway.counters.peer_responses.add(if is_protocol_error {
                 "not_understood"
             } else {
                 "none"
@@ -225,7 +225,7 @@
             return;
         }
     };
-    gateway.counters.peer_answers.add("taken");
+    gateway.counters.peer_responses.add("taken");
 
     // Halls come first, so that a new configuration never routes requests to evacuated halls.
     gateway.merge_hall_statuses(&state.halls);
@@ -244,10 +244,10 @@
 }
 
 async fn fetch(client: &Client) -> Result<PeerState> {
-    let answer = client
+    let response = client
         .get(STATE_PATH, POLL_TIMEOUT)
         .await
         .map_err(|e| Error::Platform(format!("peer {}: {e}", client.address())))?;
 
-    decode(&answer.body)
+    decode(&response.body)
 }
--- a/grebedeck/src/gateway/pool.rs
+++ b/grebedeck/src/gateway/pool.rs
@@ -13,9 +13,9 @@
 /// Idle limit if the target states none: long enough for the next request of a quiet service, short
 /// enough that most targets still keep the connection.
 const DEFAULT_IDLE_LIMIT: Duration = Duration::from_secs(4);
-/// Part of the keep-alive time stated by a target that is used; near its end a request and the
+/// Fraction of the keep-alive time stated by a target that is used; near its end a request and the
 /// target's close may cross.
-const SAFE_KEEP_ALIVE_SHARE: f64 = 0.6;
+const SAFE_KEEP_ALIVE_FRACTION: f64 = 0.6;
 /// Most idle connections per target: about as many as the requests that it executes at once.
 pub const MAX_IDLE_PER_TARGET: usize = 16;
 
@@ -115,5 +115,5 @@
     let timeout = text.split(',').find_map(|part| part.trim().strip_prefix("timeout="));
     let seconds: Option<u64> = timeout.and_then(|t| t.trim().parse().ok());
 
-    seconds.map_or(DEFAULT_IDLE_LIMIT, |s| Duration::from_secs(s).mul_f64(SAFE_KEEP_ALIVE_SHARE))
+    seconds.map_or(DEFAULT_IDLE_LIMIT, |s| Duration::from_secs(s).mul_f64(SAFE_KEEP_ALIVE_FRACTION))
 }
--- a/grebedeck/src/gateway/relay.rs
+++ b/grebedeck/src/gateway/relay.rs
@@ -172,12 +172,12 @@
         source
     }
 
-    /// Records a request of a follower. Without an answer for it, this gateway is made to read the
-    /// store.
-    fn record_follower_request(&self, has_answer: bool, now: Moment) {
+    /// Records a request of a follower. If it cannot be answered yet, this gateway is made to
+    /// read the store.
+    fn record_follower_request(&self, can_answer: bool, now: Moment) {
         self.relays.borrow_mut().record_follower(now);
 
-        if !has_answer {
+        if !can_answer {
             self.follower_waiting.notify(usize::MAX);
         }
     }
@@ -303,13 +303,13 @@
                 break;
             };
             let limit = FIRST_READ_WAIT + RELAY_TIMEOUT;
-            let answer = futures::select! {
-                answer = self.fetch(relay, path, limit).fuse() => answer,
+            let response = futures::select! {
+                response = self.fetch(relay, path, limit).fuse() => response,
                 // Prevents a deadlock of two gateways that follow each other while they start.
                 () = follower_waiting.fuse() => continue,
             };
 
-            match answer {
+            match response {
                 Ok(relayed) => return Ok(relayed),
                 Err(error) => {
                     self.state().record_relay_failure(relay, &error, self.gateway.now());
@@ -402,13 +402,13 @@
         T::feed(self.state()).borrow_mut().clear();
         let wait = wait.min(T::relay_wait(&self.gateway.settings()));
         let path = format!("{}?after={after}&wait_ms={}", T::PATH, wait.as_millis());
-        let answer = futures::select! {
-            answer = self.fetch(relay, &path, wait + RELAY_TIMEOUT).fuse() => answer,
+        let response = futures::select! {
+            response = self.fetch(relay, &path, wait + RELAY_TIMEOUT).fuse() => response,
             // The follower waits until this gateway has read the store.
             () = follower_waiting.fuse() => return Watched::HistoryGone,
         };
 
-        match answer {
+        match response {
             Ok(Relayed { age, value }) => {
                 T::record_age(self.state(), age);
                 value
@@ -440,13 +440,13 @@
     ) -> Result<Option<Relayed<T>>> {
         self.gateway.counters.sources.add("relay");
         let client = self.client(relay);
-        let answer = client
+        let response = client
             .get(path, limit)
             .await
             .map_err(|e| Error::Platform(format!("relay {relay}: {e}")))?;
 
-        match answer.head.status {
-            200 => Ok(Some(decode(&answer.body)?)),
+        match response.head.status {
+            200 => Ok(Some(decode(&response.body)?)),
             UNCHANGED_STATUS => Ok(None),
             status => platform_error(format!("relay {relay}: status {status}")),
         }
--- a/grebedeck/src/gateway/service.rs
+++ b/grebedeck/src/gateway/service.rs
@@ -56,10 +56,11 @@
     /// Memory for callers' request bodies.
     pub bodies: Rc<SharedMemory>,
     /// Memory for targets' responses.
-    pub answers: Rc<SharedMemory>,
+    pub responses: Rc<SharedMemory>,
     /// Shutdown state, with the connections and requests in progress.
     pub stop: StopState,
-    /// Notified whenever a slot on a target may have become free.
+    /// Notified whenever a slot on a target may have become free, or the configuration, the targets
+    /// or a limit has changed.
     pub slot_freed: Event,
     /// Load and health of the targets.
     pub chooser: RefCell<Chooser>,
@@ -70,7 +71,7 @@
     /// State of what operators have written to the store.
     pub(super) operator: OperatorView,
     /// Whether any rank has reported its load yet.
-    pub(super) hears_ranks: Cell<bool>,
+    pub(super) receives_rank_loads: Cell<bool>,
     retry_budgets: RefCell<HashMap<ServiceName, WindowedRetryBudget>>,
     site: RefCell<Option<Site>>,
     /// The relay that this gateway follows, and the feeds for gateways that follow it.
@@ -78,7 +79,7 @@
     peers: RefCell<BTreeSet<SocketAddr>>,
     /// Number of known gateways, including this one.
     gateway_count: Cell<usize>,
-    store_answered_at: Cell<Option<Moment>>,
+    store_responded_at: Cell<Option<Moment>>,
     pub(super) outages: RefCell<HashMap<ServiceName, Outage>>,
     /// Group of each model rank, as reported by the rank.
     pub(super) groups: RefCell<HashMap<TargetId, GroupId>>,
@@ -89,13 +90,13 @@
     pub(super) cold: RefCell<ColdLimiter>,
     /// Targets that refuse requests or have requested a delay.
     pub(super) refusals: RefCell<Refusals>,
-    /// Budget of log lines on targets that refuse.
+    /// Rate limit of log lines about refusing targets.
     pub(super) refusing_lines: RefCell<LineRateLimiter>,
     /// Rate limits announced by targets.
     pub(super) limits: LimitState,
     /// Permits for targets with a rate limit, granted and requested.
     pub(super) quota: QuotaState,
-    /// Budget of log lines on unreadable entries.
+    /// Rate limit of log lines about unreadable entries.
     pub(super) entry_lines: RefCell<LineRateLimiter>,
     /// Quarantined requests, and those under suspicion after a crash.
     pub(super) quarantine: RefCell<Quarantine>,
@@ -105,7 +106,7 @@
     pub(super) suspects_changed: Event,
     /// Notified when there are crash reports to send to other gateways or to the store.
     pub(super) suspect_updates: Event,
-    /// Budget of log lines on targets that crash.
+    /// Rate limit of log lines about crashed targets.
     pub(super) suspect_lines: RefCell<LineRateLimiter>,
     /// Requests that wait for a slot.
     pub waiting: WaitQueues,
@@ -122,7 +123,7 @@
             quota: QuotaState::new(settings.ip),
             chooser: RefCell::new(Chooser::new(&settings.hall, settings.chooser_options())),
             bodies: SharedMemory::new(settings.memory_bytes(settings.kept.bodies)),
-            answers: SharedMemory::new(settings.memory_bytes(settings.kept.answers)),
+            responses: SharedMemory::new(settings.memory_bytes(settings.kept.answers)),
             settings: RefCell::new(Rc::new(settings)),
             counters: Counters::new(&metrics),
             metrics,
@@ -137,12 +138,12 @@
             targets: RefCell::default(),
             targets_known_at: Cell::default(),
             operator: OperatorView::default(),
-            hears_ranks: Cell::new(false),
+            receives_rank_loads: Cell::new(false),
             retry_budgets: RefCell::default(),
             site: RefCell::default(),
             peers: RefCell::default(),
             gateway_count: Cell::new(1),
-            store_answered_at: Cell::default(),
+            store_responded_at: Cell::default(),
             outages: RefCell::default(),
             groups: RefCell::default(),
             paces: RefCell::default(),
@@ -230,19 +231,19 @@
         peers
     }
 
-    /// Records that the store has answered.
-    pub fn record_store_answer(&self) {
-        self.store_answered_at.set(Some(self.now()));
+    /// Records that the store has responded.
+    pub fn record_store_response(&self) {
+        self.store_responded_at.set(Some(self.now()));
     }
 
     /// Records a failed call to the store.
     pub fn record_store_failure(&self) {
-        self.store_answered_at.set(None);
+        self.store_responded_at.set(None);
     }
 
     /// Whether the store is unavailable: the last call failed, or it has been silent for too long.
     pub fn is_store_unavailable(&self, silence: Duration) -> bool {
-        self.store_answered_at.get().is_none_or(|at| self.now() >= at + silence)
+        self.store_responded_at.get().is_none_or(|at| self.now() >= at + silence)
     }
 
     /// Updates the list of targets and handles the events that result.
@@ -299,7 +300,7 @@
         self.targets.borrow().candidates(service).cloned().unwrap_or_default()
     }
 
-    /// Records the first attempt of a request in the retry budget of its service.
+    /// Counts a request, at its first attempt, in the retry budget of its service.
     pub fn record_first_attempt(&self, service: &str) {
         let now = self.now();
 
@@ -315,12 +316,12 @@
 
     /// Returns whether a request may be retried on another target; if so, takes a retry from the
     /// budget.
-    pub fn authorize_retry(&self, request: &RoutedRequest, tried: &AttemptHistory) -> bool {
+    pub fn authorize_retry(&self, request: &RoutedRequest, history: &AttemptHistory) -> bool {
         let rule = &request.admitted.rule;
         let now = self.now();
-        let refused = if !answer::may_retry(rule.kind, tried.run_state()) {
+        let denial = if !answer::may_retry(rule.kind, history.run_state()) {
             Some("may have run")
-        } else if tried.targets().len() >= rule.max_targets as usize {
+        } else if history.targets().len() >= rule.max_targets as usize {
             Some("sent often enough")
         } else if request.deadline <= now + MIN_ATTEMPT_TIME {
             Some("no time left")
@@ -330,17 +331,17 @@
             None
         };
 
-        self.counters.retries.add(refused.unwrap_or("allowed"));
+        self.counters.retries.add(denial.unwrap_or("allowed"));
 
-        if let Some(reason) = refused {
+        if let Some(reason) = denial {
             request.trace.add(now, Decision::NotRetried { reason });
         }
 
-        refused.is_none()
+        denial.is_none()
     }
 
-    /// Records how long a target took until its answer, or a stream's first event.
-    pub fn record_answer_time(&self, service: &str, took: Duration) {
+    /// Records how long a target took until its response, or a stream's first event.
+    pub fn record_response_time(&self, service: &str, took: Duration) {
         let mut limits = self.wait_limits.borrow_mut();
 
         match limits.get_mut(service) {
@@ -364,26 +365,26 @@
         limits.get(service).map_or(objective, |limit| limit.max_wait(objective))
     }
 
-    /// Mean time that a service's targets take until an answer, or a stream's first event.
-    pub fn usual_answer_time(&self, service: &str) -> Option<Duration> {
+    /// Mean time that a service's targets take until a response, or a stream's first event.
+    pub fn usual_response_time(&self, service: &str) -> Option<Duration> {
         self.wait_limits.borrow().get(service).map(WaitLimit::mean)
     }
 
     /// Counts how a request ended, and logs its trace if it is of interest and the budget allows.
-    pub fn record_end(&self, trace: &Trace, end: Outcome, is_late: bool) {
+    pub fn record_end(&self, trace: &Trace, outcome: Outcome, is_late: bool) {
         let now = self.now();
-        self.counters.requests.add(if is_late && end.word() == "served" {
+        self.counters.requests.add(if is_late && outcome.word() == "served" {
             "served_late"
         } else {
-            end.word()
+            outcome.word()
         });
 
-        if !trace.should_log(end, is_late) {
+        if !trace.should_log(outcome, is_late) {
             return;
         }
 
         if self.trace_lines.borrow_mut().try_acquire(now) {
-            trace.log(end, now);
+            trace.log(outcome, now);
         } else {
             self.counters.suppressed_lines.add("story");
         }
--- a/grebedeck/src/gateway/stop.rs
+++ b/grebedeck/src/gateway/stop.rs
@@ -3,7 +3,7 @@
 //! After the signal the process reports that it is not ready, and keeps serving until the
 //! platform's balancer has noticed; later requests are refused. Idle connections are closed at
 //! once, because a caller whose request crosses the close sends it again. Each other connection is
-//! closed after its current answer.
+//! closed after its current response.
 
 use std::cell::Cell;
 use std::path::Path;
@@ -79,7 +79,7 @@
         self.in_flight.get()
     }
 
-    /// Begins to stop: idle connections are closed, the others after their current answer.
+    /// Begins to stop: idle connections are closed, the others after their current response.
     pub fn begin(&self, now: Moment) {
         self.since.set(Some(now));
         self.began.notify(usize::MAX);
--- a/grebedeck/src/gateway/stream.rs
+++ b/grebedeck/src/gateway/stream.rs
@@ -51,14 +51,14 @@
 }
 
 /// A stream on its way to a caller.
-struct StreamRelay<'a> {
+struct StreamForwarder<'a> {
     gateway: &'a Rc<Gateway>,
     request: &'a Rc<RoutedRequest>,
     connection: &'a mut Connection,
     reuse: Reuse,
     head_sent: bool,
-    tried: AttemptHistory,
-    /// Whether the stream was found unable to move, so that this is not checked at each event.
+    history: AttemptHistory,
+    /// Whether the stream may not move, as it was denied a retry; this is not checked again.
     is_pinned: bool,
     /// When the request acquired its latest slot.
     acquired_at: Option<Moment>,
@@ -75,35 +75,35 @@
     reuse: Reuse,
 ) -> Reuse {
     gateway.record_first_attempt(&request.service);
-    let mut relay = StreamRelay {
+    let mut forwarder = StreamForwarder {
         gateway,
         request,
         connection,
         reuse,
         head_sent: false,
-        tried: AttemptHistory::default(),
+        history: AttemptHistory::default(),
         is_pinned: false,
         acquired_at: None,
         timing: EventTiming::default(),
         write_blocked: false,
     };
-    let (end, reuse) = relay.run().await;
-    let is_late = relay.timing.is_late;
+    let (outcome, reuse) = forwarder.run().await;
+    let is_late = forwarder.timing.is_late;
 
     if is_late {
-        request.trace.add(gateway.now(), relay.timing.decision(request.request.arrived));
+        request.trace.add(gateway.now(), forwarder.timing.decision(request.request.arrived));
     }
 
-    gateway.record_end(&request.trace, end, is_late);
+    gateway.record_end(&request.trace, outcome, is_late);
 
     reuse
 }
 
-impl StreamRelay<'_> {
+impl StreamForwarder<'_> {
     async fn run(&mut self) -> (Outcome, Reuse) {
         loop {
             let found = {
-                let finding = slot::acquire(self.gateway, self.request, self.tried.targets());
+                let finding = slot::acquire(self.gateway, self.request, self.history.targets());
                 futures::select! {
                     found = finding.fuse() => Some(found),
                     () = self.connection.wait_closed(READ_AHEAD_BYTES).fuse() => None,
@@ -116,7 +116,7 @@
             };
 
             let target = slot.target.clone();
-            self.tried.record_start(&target);
+            self.history.record_start(&target);
             self.acquired_at = Some(self.gateway.now());
             let opened = {
                 let opening = attempt::open(self.gateway, self.request, slot);
@@ -143,13 +143,13 @@
                 Some(Ok(opened)) if !self.head_sent => return self.forward_failure(opened).await,
                 Some(Ok(opened)) => opened.record_broken(),
                 Some(Err(failure)) => {
-                    if !self.tried.record_failure(&failure) {
+                    if !self.history.record_failure(&failure) {
                         continue;
                     }
                 }
             }
 
-            if !self.gateway.authorize_retry(self.request, &self.tried) {
+            if !self.gateway.authorize_retry(self.request, &self.history) {
                 return self.give_up(None).await;
             }
         }
@@ -158,7 +158,7 @@
     /// Forwards events until this target's part ends.
     async fn forward(&mut self, mut opened: OpenResponse<'_>, target: &TargetEntry) -> PartEnd {
         let mut events = EventBuffer::default();
-        let mut reserved = Buffer::new(&self.gateway.answers);
+        let mut reserved = Buffer::new(&self.gateway.responses);
 
         loop {
             let left = self.request.deadline.saturating_sub(self.gateway.now());
@@ -242,13 +242,13 @@
         };
         let wants_to = !self.is_pinned
             && self.gateway.should_move_stream(target, limit)
-            && slot::has_free_slot(self.gateway, self.request, self.tried.targets());
+            && slot::has_free_slot(self.gateway, self.request, self.history.targets());
 
         if !wants_to {
             return false;
         }
 
-        if !self.gateway.authorize_retry(self.request, &self.tried) {
+        if !self.gateway.authorize_retry(self.request, &self.history) {
             self.is_pinned = true;
             return false;
         }
@@ -274,7 +274,7 @@
                 counters.first_event_times.record(first, "stream");
 
                 if let Some(acquired_at) = self.acquired_at {
-                    self.gateway.record_answer_time(&self.request.service, now - acquired_at);
+                    self.gateway.record_response_time(&self.request.service, now - acquired_at);
                 }
 
                 self.timing.is_late |= first > rule.objective;
@@ -343,7 +343,7 @@
         self.write(&bytes).await
     }
 
-    /// Encoded response head; empty if it has been sent.
+    /// Encoded response head; empty if it has already been returned.
     fn head_bytes(&mut self, head: &ResponseHead) -> Vec<u8> {
         let mut bytes = Vec::new();
 
@@ -376,15 +376,15 @@
         let left = self.request.deadline.saturating_sub(self.gateway.now());
 
         match timeout(left, opened.read_whole()).await {
-            Ok(Ok((head, body))) => self.answer(BufferedResponse::from_target(head, body)).await,
+            Ok(Ok((head, body))) => self.respond(BufferedResponse::from_target(head, body)).await,
             Ok(Err(_)) | Err(_) => self.give_up(None).await,
         }
     }
 
-    async fn answer(&mut self, answer: BufferedResponse) -> (Outcome, Reuse) {
-        let end = answer.outcome();
+    async fn respond(&mut self, response: BufferedResponse) -> (Outcome, Reuse) {
+        let outcome = response.outcome();
 
-        (end, write_buffered(self.gateway, self.connection, answer, self.reuse).await)
+        (outcome, write_buffered(self.gateway, self.connection, response, self.reuse).await)
     }
 
     /// Ends the request without a target's response, or truncates a stream that has started.
@@ -396,8 +396,8 @@
         let is_late = self.request.is_past_deadline(self.gateway.now());
         let reason =
             reason.unwrap_or_else(|| NoSlot::after_attempts(self.gateway, &self.request.service));
-        let run = self.tried.run_state();
-        self.answer(BufferedResponse::given_up(run, is_late, reason, self.request, self.gateway))
+        let run = self.history.run_state();
+        self.respond(BufferedResponse::given_up(run, is_late, reason, self.request, self.gateway))
             .await
     }
 }
--- a/grebedeck/src/gateway/trace.rs
+++ b/grebedeck/src/gateway/trace.rs
@@ -212,12 +212,12 @@
 
     /// Whether the trace of a request with this outcome should be logged, subject to the rate
     /// limit.
-    pub fn should_log(&self, end: Outcome, is_late: bool) -> bool {
-        end.is_bad() || is_late || ProcessRandom::default().below(SAMPLE_ONE_IN) == 0
+    pub fn should_log(&self, outcome: Outcome, is_late: bool) -> bool {
+        outcome.is_bad() || is_late || ProcessRandom::default().below(SAMPLE_ONE_IN) == 0
     }
 
     /// Logs all decisions and the outcome.
-    pub fn log(&self, end: Outcome, now: Moment) {
+    pub fn log(&self, outcome: Outcome, now: Moment) {
         for (at, decision) in self.decisions.borrow().iter() {
             self.log_decision(self.offset_ms(*at), decision);
         }
@@ -225,8 +225,8 @@
         log::info!("request ended", kv: {
             request = self.id.as_str(),
             at_ms = self.offset_ms(now),
-            end = end.word(),
-            status = end.status(),
+            end = outcome.word(),
+            status = outcome.status(),
         });
     }
 
--- a/grebedeck/src/gateway/wait_queues.rs
+++ b/grebedeck/src/gateway/wait_queues.rs
@@ -69,8 +69,8 @@
 impl QueueEntry {
     /// Waits for the slot, or for the reason why there is none.
     pub async fn wait(mut self) -> Result<Slot, NoSlot> {
-        // A request gets its reply before the sender is dropped; a closed channel means that its service
-        // is gone.
+        // A request gets its reply before the sender is dropped; a closed channel means that its
+        // service is gone.
         (&mut self.reply).await.unwrap_or(Err(NoSlot::NoTargets))
     }
 }
--- a/grebedeck/src/gateway/watch.rs
+++ b/grebedeck/src/gateway/watch.rs
@@ -60,7 +60,7 @@
             Ok(next) => {
                 backoff.reset();
                 gateway.counters.store_calls.add("answered");
-                gateway.record_store_answer();
+                gateway.record_store_response();
                 after = next;
             }
             Err(error) => {
