--- a/grebedeck/src/gateway/pace.rs
+++ b/grebedeck/src/gateway/pace.rs
@@ -8,7 +8,7 @@
 use grebedeck_gateway::{EngineSpec, Pacing, PacingOptions, RouteRule, TargetEntry};
 
 use super::mechanism::Mechanism;
-use super::options::UNKNOWN_ANSWER_TIME;
+use super::options::UNKNOWN_RESPONSE_TIME;
 use super::request::RoutedRequest;
 use super::service::Gateway;
 
@@ -70,11 +70,11 @@
         paces.get(service).map_or(full, |pace| pace.allowed_load(load, slowdown, full, now))
     }
 
-    /// Expected time until enough running requests have ended for the service's targets to have
-    /// room.
+    /// Expected time until enough running requests have ended for one of the service's targets to
+    /// have a free slot.
     pub fn expected_slot_wait(&self, service: &str) -> Duration {
         let now = self.now();
-        let targets = self.at_full_capacity(&self.candidates(service), now);
+        let targets = self.without_cold_or_limited(&self.candidates(service), now);
         let allowed = self.allowed_load(service, &targets, now);
         let load = self.chooser.borrow().mean_load(&targets, now);
         // If the mean load is low enough, the next request that ends frees a slot.
@@ -83,16 +83,20 @@
         self.usual_duration(service).mul_f64(over.min(1.0))
     }
 
-    /// Delay after which the caller of a refused request should return; `None` unless the service's
+    /// Delay after which the caller of a refused request should retry; `None` unless the service's
     /// queue is ordered by urgency and its rate is known.
-    pub fn scheduled_return(&self, request: &RoutedRequest, first: Duration) -> Option<Duration> {
+    pub fn scheduled_retry_after(
+        &self,
+        request: &RoutedRequest,
+        first_slot_in: Duration,
+    ) -> Option<Duration> {
         let now = self.now();
         let left = request.deadline.saturating_sub(now);
 
-        self.waiting.scheduled_return(
+        self.waiting.scheduled_retry_after(
             &request.service,
             request.admitted.urgency(),
-            first,
+            first_slot_in,
             left,
             now,
         )
@@ -105,7 +109,7 @@
 
         match (engine.and_then(EngineSpec::usual_passes), self.mean_pause(service)) {
             (Some(passes), Some(pause)) => pause.mul_f64(passes),
-            _ => self.usual_answer_time(service).unwrap_or(UNKNOWN_ANSWER_TIME),
+            _ => self.usual_response_time(service).unwrap_or(UNKNOWN_RESPONSE_TIME),
         }
     }
 }
