--- a/grebedeck-lab/src/command/cost.rs
+++ b/grebedeck-lab/src/command/cost.rs
@@ -1,4 +1,4 @@
-//! What state, messages and decisions cost, as slopes.
+//! The `cost` command: measures how the cost of state, messages and decisions grows with size.
 
 use std::path::PathBuf;
 
@@ -7,17 +7,18 @@
 
 use crate::cost::{page, plot, probes};
 
-/// What to do with the figures.
+/// Options of the `cost` command.
 #[derive(Clone, Debug, Bpaf)]
 pub struct CostOptions {
     /// Print JSON
     pub json: bool,
-    /// Write the table into this page, between its markers, and a plot of each slope beside it
+    /// Write the table between the markers of this page, and a plot of each slope into the
+    /// directory that has the page's name without its extension
     #[bpaf(long, argument("FILE"))]
     pub page: Option<PathBuf>,
 }
 
-/// Measures all slopes and prints or writes them.
+/// Runs all probes, prints the slopes and, if a page is given, writes the table and plots.
 pub fn run(options: &CostOptions) -> Result<()> {
     let slopes: Vec<_> = probes::ALL.iter().map(|probe| probe.measure()).collect();
 
--- a/grebedeck-lab/src/cost.rs
+++ b/grebedeck-lab/src/cost.rs
@@ -1,4 +1,5 @@
-//! Slopes of costs over the number of things, measured on the real code.
+//! Costs in time, memory and message size, measured on the real code at several sizes, and the
+//! slopes of lines fitted to them. The capacity page shows them extrapolated to a large deployment.
 
 pub mod fit;
 pub mod page;
--- a/grebedeck-lab/src/cost/fit.rs
+++ b/grebedeck-lab/src/cost/fit.rs
@@ -1,32 +1,32 @@
-//! Straight lines through measured points.
+//! Linear fits of measured costs.
 
 use serde::Serialize;
 
-/// A cost measured at several sizes, with the line through the points.
+/// A cost measured at several sizes, and the line fitted to the points.
 #[derive(Clone, Debug, Serialize)]
 pub struct Slope {
-    /// What was measured.
+    /// Name of the cost.
     pub name: &'static str,
     /// Unit of the cost.
     pub unit: &'static str,
-    /// What the sizes count.
+    /// What a size counts.
     pub per: &'static str,
     /// Size and cost of each point.
     pub points: Vec<(f64, f64)>,
-    /// Cost of one more.
+    /// Increase of the cost per unit of size.
     pub slope: f64,
-    /// Cost of none.
+    /// Cost at size zero, from the line.
     pub intercept: f64,
-    /// Largest distance of a point from the line, as a part of the largest cost.
+    /// Largest deviation of a point from the line, as a fraction of the largest cost.
     pub spread: f64,
-    /// Size in the large fleet.
+    /// Size in a large deployment.
     pub size: f64,
     /// Cost at that size, from the line.
     pub at_size: f64,
 }
 
 impl Slope {
-    /// Fits a line by least squares, and reads it at a size.
+    /// Fits a line by least squares and evaluates it at `size`.
     pub fn fit(
         name: &'static str,
         unit: &'static str,
@@ -42,9 +42,9 @@
         let slope = covariance / variance;
         let intercept = mean_y - slope * mean_x;
 
-        let off = |p: &(f64, f64)| (p.1 - intercept - slope * p.0).abs();
-        let largest = points.iter().map(|p| p.1.abs()).fold(0.0, f64::max);
-        let spread = points.iter().map(off).fold(0.0, f64::max) / largest.max(1e-12);
+        let deviation = |p: &(f64, f64)| (p.1 - intercept - slope * p.0).abs();
+        let max_cost = points.iter().map(|p| p.1.abs()).fold(0.0, f64::max);
+        let spread = points.iter().map(deviation).fold(0.0, f64::max) / max_cost.max(1e-12);
         let at_size = intercept + slope * size;
 
         Slope { name, unit, per, points, slope, intercept, spread, size, at_size }
--- a/grebedeck-lab/src/cost/page.rs
+++ b/grebedeck-lab/src/cost/page.rs
@@ -4,16 +4,17 @@
 
 use super::fit::Slope;
 
-/// Marks the start of what the command writes.
-pub const BEGIN: &str = "<!-- slopes: written by grebedeck-lab cost -->";
-/// Marks the end of what the command writes.
-pub const END: &str = "<!-- end of slopes -->";
-/// The table's head.
-pub const HEAD: &str = "| cost | unit | for each | slope | intercept | spread | size | at size |";
-
-/// Writes the table.
+/// Marker before the generated table.
+pub const BEGIN_MARKER: &str = "<!-- slopes: written by grebedeck-lab cost -->";
+/// Marker after the generated table.
+pub const END_MARKER: &str = "<!-- end of slopes -->";
+/// Header row of the table.
+pub const TABLE_HEADER: &str =
+    "| cost | unit | for each | slope | intercept | spread | size | at size |";
+
+/// Formats the slopes as a Markdown table.
 pub fn table(slopes: &[Slope]) -> String {
-    let mut text = format!("{HEAD}\n|---|---|---|---|---|---|---|---|\n");
+    let mut text = format!("{TABLE_HEADER}\n|---|---|---|---|---|---|---|---|\n");
 
     for s in slopes {
         text.push_str(&format!(
@@ -21,29 +22,29 @@
             s.name,
             s.unit,
             s.per,
-            figure(s.slope),
-            figure(s.intercept),
+            format_figure(s.slope),
+            format_figure(s.intercept),
             s.spread * 100.0,
             s.size,
-            figure(s.at_size),
+            format_figure(s.at_size),
         ));
     }
 
     text
 }
 
-/// Puts a table in the place of the page's present one.
+/// Replaces the table between the markers of a page; fails if a marker is missing.
 pub fn replace(page: &str, table: &str) -> Result<String> {
-    let (Some(begin), Some(end)) = (page.find(BEGIN), page.find(END)) else {
+    let (Some(begin), Some(end)) = (page.find(BEGIN_MARKER), page.find(END_MARKER)) else {
         bail!("the page has no markers for the table");
     };
 
-    Ok(format!("{}\n\n{table}\n{}", &page[..begin + BEGIN.len()], &page[end..]))
+    Ok(format!("{}\n\n{table}\n{}", &page[..begin + BEGIN_MARKER.len()], &page[end..]))
 }
 
-/// Three significant figures.
-fn figure(value: f64) -> String {
-    // Rounding comes first, or 9.9999 would get a figure more than 10.
+/// Formats a value with three significant figures.
+fn format_figure(value: f64) -> String {
+    // The value is rounded first: otherwise 9.9999 would be written with one figure more than 10.
     let rounded: f64 = format!("{value:.2e}").parse().unwrap_or(value);
 
     if rounded == 0.0 {
--- a/grebedeck-lab/src/cost/plot.rs
+++ b/grebedeck-lab/src/cost/plot.rs
@@ -1,4 +1,4 @@
-//! A plot of each slope, as SVG.
+//! SVG plots of the slopes.
 
 use std::path::Path;
 
@@ -7,9 +7,9 @@
 
 use super::fit::Slope;
 
-const SIZE: (u32, u32) = (480, 300);
+const SIZE_PX: (u32, u32) = (480, 300);
 
-/// Writes a plot of each slope into a directory.
+/// Writes a plot of each slope into a directory, which is created if needed.
 pub fn write(slopes: &[Slope], dir: &Path) -> Result<()> {
     std::fs::create_dir_all(dir)?;
 
@@ -22,7 +22,7 @@
 }
 
 fn draw(slope: &Slope, file: &Path) -> Result<(), Box<dyn std::error::Error>> {
-    let root = SVGBackend::new(file, SIZE).into_drawing_area();
+    let root = SVGBackend::new(file, SIZE_PX).into_drawing_area();
     root.fill(&WHITE)?;
 
     let x_max = slope.points.iter().map(|p| p.0).fold(0.0, f64::max) * 1.05;
--- a/grebedeck-lab/src/cost/probes.rs
+++ b/grebedeck-lab/src/cost/probes.rs
@@ -1,4 +1,6 @@
-//! What is measured, each at several sizes.
+//! The probes, each of which measures one cost at several sizes.
+//!
+//! Memory probes need the allocator `INSTRUMENTED_SYSTEM`, which the program's `main` installs.
 
 mod config;
 mod experts;
@@ -12,15 +14,15 @@
 
 use super::fit::Slope;
 
-/// One cost and how to measure it.
+/// A cost and how to measure it.
 pub struct Probe {
-    /// The cost's name, as it stands in the page.
+    /// Name of the cost, which the page and the plots' file names show.
     pub name: &'static str,
     unit: &'static str,
     per: &'static str,
     sizes: &'static [usize],
-    /// Size in the large fleet.
-    at: f64,
+    /// Size in a large deployment, for which the page gives the cost.
+    fleet_size: f64,
     cost: fn(usize) -> f64,
 }
 
@@ -29,71 +31,71 @@
     pub fn measure(&self) -> Slope {
         let points = self.sizes.iter().map(|n| (*n as f64, (self.cost)(*n))).collect();
 
-        Slope::fit(self.name, self.unit, self.per, points, self.at)
+        Slope::fit(self.name, self.unit, self.per, points, self.fleet_size)
     }
 }
 
-const ORGANISATIONS: &[usize] = &[4_500, 9_000, 18_000, 36_000];
-const TARGETS: &[usize] = &[80, 160, 320, 650];
-const LAYERS: &[usize] = &[8, 16, 32, 60];
-const MEMBERS: &[usize] = &[2, 4, 8, 16];
+const ORGANISATION_COUNTS: &[usize] = &[4_500, 9_000, 18_000, 36_000];
+const TARGET_COUNTS: &[usize] = &[80, 160, 320, 650];
+const LAYER_COUNTS: &[usize] = &[8, 16, 32, 60];
+const MEMBER_COUNTS: &[usize] = &[2, 4, 8, 16];
 
-/// Everything that is measured, in the page's order.
+/// All probes, in the order of the page.
 pub const ALL: &[Probe] = &[
     Probe {
         name: "configuration memory",
         unit: "bytes",
         per: "organisation",
-        sizes: ORGANISATIONS,
-        at: 36_000.0,
+        sizes: ORGANISATION_COUNTS,
+        fleet_size: 36_000.0,
         cost: config::configuration_bytes,
     },
     Probe {
         name: "snapshot on the wire",
         unit: "bytes",
         per: "organisation",
-        sizes: ORGANISATIONS,
-        at: 36_000.0,
+        sizes: ORGANISATION_COUNTS,
+        fleet_size: 36_000.0,
         cost: config::snapshot_bytes,
     },
     Probe {
         name: "one change put in force",
         unit: "ms",
         per: "organisation",
-        sizes: ORGANISATIONS,
-        at: 36_000.0,
-        cost: config::change_ms,
+        sizes: ORGANISATION_COUNTS,
+        fleet_size: 36_000.0,
+        cost: config::apply_change_ms,
     },
     Probe {
         name: "one change checked",
         unit: "ms",
         per: "organisation",
-        sizes: ORGANISATIONS,
-        at: 36_000.0,
-        cost: config::check_ms,
+        sizes: ORGANISATION_COUNTS,
+        fleet_size: 36_000.0,
+        cost: config::check_change_ms,
     },
     Probe {
         name: "log entry on the wire",
         unit: "bytes",
         per: "changed organisation",
         sizes: &[1, 4, 16, 64],
-        at: 1.0,
-        cost: config::entry_bytes,
+        fleet_size: 1.0,
+        cost: config::log_entry_bytes,
     },
     Probe {
         name: "choice of a target",
         unit: "us",
         per: "allowed target",
-        sizes: TARGETS,
-        at: 59.0,
+        sizes: TARGET_COUNTS,
+        fleet_size: 59.0,
         cost: routing::choice_us,
     },
     Probe {
         name: "subset of targets",
         unit: "us",
         per: "allowed target",
-        sizes: TARGETS,
-        at: 59.0,
+        sizes: TARGET_COUNTS,
+        fleet_size: 59.0,
         cost: routing::subset_us,
     },
     Probe {
@@ -101,7 +103,7 @@
         unit: "bytes",
         per: "target",
         sizes: &[10_000, 20_000, 40_000, 80_000],
-        at: 650.0,
+        fleet_size: 650.0,
         cost: routing::view_bytes,
     },
     Probe {
@@ -109,7 +111,7 @@
         unit: "us",
         per: "active organisation",
         sizes: &[1_000, 4_000, 16_000, 36_000],
-        at: 36_000.0,
+        fleet_size: 36_000.0,
         cost: routing::admission_us,
     },
     Probe {
@@ -117,7 +119,7 @@
         unit: "bytes",
         per: "active organisation",
         sizes: &[36_000, 72_000, 144_000, 288_000],
-        at: 36_000.0,
+        fleet_size: 36_000.0,
         cost: routing::admission_bytes,
     },
     Probe {
@@ -125,23 +127,23 @@
         unit: "us",
         per: "waiting request",
         sizes: &[1_000, 2_500, 5_000, 10_000],
-        at: 10_000.0,
-        cost: order::order_us,
+        fleet_size: 10_000.0,
+        cost: order::queue_us,
     },
     Probe {
         name: "memory of the order",
         unit: "bytes",
         per: "waiting request",
         sizes: &[1_000, 2_500, 5_000, 10_000],
-        at: 10_000.0,
-        cost: order::order_bytes,
+        fleet_size: 10_000.0,
+        cost: order::queue_bytes,
     },
     Probe {
         name: "gate",
         unit: "us",
         per: "remembered key",
         sizes: &[10_000, 40_000, 80_000, 160_000],
-        at: 10_000.0,
+        fleet_size: 10_000.0,
         cost: routing::gate_us,
     },
     Probe {
@@ -149,7 +151,7 @@
         unit: "bytes",
         per: "remembered key",
         sizes: &[50_000, 100_000, 150_000, 200_000],
-        at: 10_000.0,
+        fleet_size: 10_000.0,
         cost: routing::gate_bytes,
     },
     Probe {
@@ -157,7 +159,7 @@
         unit: "bytes",
         per: "byte of body",
         sizes: &[0, 1_000, 10_000, 100_000],
-        at: 1_000.0,
+        fleet_size: 1_000.0,
         cost: routing::request_bytes,
     },
     Probe {
@@ -165,23 +167,23 @@
         unit: "bytes",
         per: "event of 24 bytes",
         sizes: &[1, 10, 100, 1_000],
-        at: 230.0,
+        fleet_size: 230.0,
         cost: routing::answer_bytes,
     },
     Probe {
         name: "token counts on the wire",
         unit: "bytes",
         per: "layer of 128 experts",
-        sizes: LAYERS,
-        at: 60.0,
+        sizes: LAYER_COUNTS,
+        fleet_size: 60.0,
         cost: experts::counts_bytes,
     },
     Probe {
         name: "expert map on the wire",
         unit: "bytes",
         per: "layer of 128 experts",
-        sizes: LAYERS,
-        at: 60.0,
+        sizes: LAYER_COUNTS,
+        fleet_size: 60.0,
         cost: experts::map_bytes,
     },
     Probe {
@@ -189,51 +191,53 @@
         unit: "bytes",
         per: "layer of 128 experts",
         sizes: &[2_000, 4_000, 8_000, 16_000],
-        at: 60.0,
+        fleet_size: 60.0,
         cost: experts::popularity_bytes,
     },
     Probe {
         name: "popularity update",
         unit: "ms",
         per: "layer of 128 experts",
-        sizes: LAYERS,
-        at: 60.0,
+        sizes: LAYER_COUNTS,
+        fleet_size: 60.0,
         cost: experts::popularity_ms,
     },
     Probe {
         name: "plan",
         unit: "ms",
         per: "layer of 128 experts on 32 ranks",
-        sizes: LAYERS,
-        at: 60.0,
+        sizes: LAYER_COUNTS,
+        fleet_size: 60.0,
         cost: experts::plan_ms,
     },
     Probe {
         name: "switch messages",
         unit: "bytes",
         per: "member",
-        sizes: MEMBERS,
-        at: 4.0,
+        sizes: MEMBER_COUNTS,
+        fleet_size: 4.0,
         cost: experts::switch_bytes,
     },
 ];
 
-/// Memory that `make`'s value holds, by the allocator's own account.
-fn held<T>(make: impl FnOnce() -> T) -> f64 {
-    let account = || {
+/// Returns the heap memory that the value of `make` retains, from the allocator's counters.
+fn retained_bytes<T>(make: impl FnOnce() -> T) -> f64 {
+    let live_bytes = || {
         let stats = INSTRUMENTED_SYSTEM.stats();
         stats.bytes_allocated as f64 - stats.bytes_deallocated as f64
     };
-    let before = account();
+    let before = live_bytes();
     let value = make();
-    let after = account();
+    let after = live_bytes();
     drop(black_box(value));
 
     after - before
 }
 
-/// Least time of some runs, in seconds: what the code takes when nothing else disturbs it.
-fn least_s(runs: usize, mut run: impl FnMut()) -> f64 {
+/// Returns the shortest time of several runs, in seconds.
+///
+/// The shortest run is the one least disturbed by other load on the machine.
+fn min_time_s(runs: usize, mut run: impl FnMut()) -> f64 {
     let timed = |run: &mut dyn FnMut()| {
         let start = Instant::now();
         run();
--- a/grebedeck-lab/src/cost/probes/config.rs
+++ b/grebedeck-lab/src/cost/probes/config.rs
@@ -1,4 +1,4 @@
-//! Costs of the configuration.
+//! Probes of the configuration: memory, wire size, and the time to check and apply a change.
 
 use std::collections::BTreeMap;
 use std::hint::black_box;
@@ -10,13 +10,13 @@
 };
 use grebedeck_net::encode;
 
-use super::{held, least_s};
+use super::{min_time_s, retained_bytes};
 
 fn document(organisations: usize, targets: usize) -> Document {
-    document_of(organisations, targets, SERVICES)
+    document_with_services(organisations, targets, SERVICES)
 }
 
-fn document_of(organisations: usize, targets: usize, services: usize) -> Document {
+fn document_with_services(organisations: usize, targets: usize, services: usize) -> Document {
     let mut document = Document::default();
     let labels = |pairs: &[(&str, String)]| -> BTreeMap<String, String> {
         pairs.iter().map(|(k, v)| (k.to_string(), v.clone())).collect()
@@ -51,13 +51,13 @@
     document
 }
 
-/// Models of the large fleet.
+/// Number of services in a large deployment.
 const SERVICES: usize = 11;
 
-/// Targets of the large fleet, in every document here.
+/// Number of targets in a large deployment.
 const FLEET_TARGETS: usize = 650;
 
-fn one_change(n: usize) -> Change {
+fn organisations_change(n: usize) -> Change {
     let mut change = Change { id: format!("change-{n}"), ..Change::default() };
 
     for m in 0..n {
@@ -83,9 +83,9 @@
     replica
 }
 
-/// Memory of a document with its routes.
+/// Memory of a replica of the configuration with its routes.
 pub fn configuration_bytes(organisations: usize) -> f64 {
-    held(|| {
+    retained_bytes(|| {
         let replica = replica(organisations);
         let routes = Routes::new(1, replica.document());
 
@@ -93,47 +93,47 @@
     })
 }
 
-/// A whole document as it travels.
+/// Encoded size of a snapshot.
 pub fn snapshot_bytes(organisations: usize) -> f64 {
     encode(&replica(organisations).snapshot()).map_or(0.0, |b| b.len() as f64)
 }
 
-/// Putting one change in force.
-pub fn change_ms(organisations: usize) -> f64 {
+/// Time to apply one change to a replica and update its routes.
+pub fn apply_change_ms(organisations: usize) -> f64 {
     let replica = replica(organisations);
     let routes = Routes::new(1, replica.document());
-    let change = one_change(1);
+    let change = organisations_change(1);
     let digest = change.apply(replica.document()).digest();
     let entry = LogEntry { revision: 2, digest, accepted_unix_ms: 2, change };
 
-    least_s(5, || {
+    min_time_s(5, || {
         let mut next = replica.clone();
         next.adopt(entry.clone());
         black_box(routes.next(2, next.document(), &entry.change));
     }) * 1e3
 }
 
-/// Checking one change.
-pub fn check_ms(organisations: usize) -> f64 {
+/// Time to check one change.
+pub fn check_change_ms(organisations: usize) -> f64 {
     let document = document(organisations, FLEET_TARGETS);
-    let change = one_change(1);
+    let change = organisations_change(1);
 
-    least_s(5, || {
+    min_time_s(5, || {
         let _ = black_box(change.check(&document));
     }) * 1e3
 }
 
-/// A log entry as it travels.
-pub fn entry_bytes(changed: usize) -> f64 {
-    let change = one_change(changed);
+/// Encoded size of a log entry.
+pub fn log_entry_bytes(changed: usize) -> f64 {
+    let change = organisations_change(changed);
     let entry = LogEntry { revision: 2, digest: u64::MAX, accepted_unix_ms: 1 << 40, change };
 
     encode(&entry).map_or(0.0, |b| b.len() as f64)
 }
 
-/// Routes of a number of targets that are all allowed.
-pub fn all_routes(targets: usize) -> Arc<[Arc<Route>]> {
-    let routes = Routes::new(1, &document_of(1, targets, 1));
+/// Returns the routes of `targets` targets of one service, all allowed for one organisation.
+pub fn allowed_routes(targets: usize) -> Arc<[Arc<Route>]> {
+    let routes = Routes::new(1, &document_with_services(1, targets, 1));
 
     routes.allowed("organisation-00000", "model-0").cloned().unwrap_or_default()
 }
--- a/grebedeck-lab/src/cost/probes/experts.rs
+++ b/grebedeck-lab/src/cost/probes/experts.rs
@@ -1,4 +1,4 @@
-//! Costs of expert maps.
+//! Probes of expert maps: wire sizes, popularity estimates, plans and switches.
 
 use std::hint::black_box;
 
@@ -13,12 +13,12 @@
 use grebedeck_experts::{ExpertMap, Planner, Popularity, PopularityOptions};
 use grebedeck_net::encode;
 
-use super::{held, least_s};
+use super::{min_time_s, retained_bytes};
 
-/// A report of token counts.
+/// Encoded size of an engine's token counts for one second.
 pub fn counts_bytes(layers: usize) -> f64 {
     let mut random = SeededSource::new(1);
-    // Tokens of one second of an engine with eight of 32 ranks, at 160 steps a second.
+    // The counts are those of one second of an engine with 8 of 32 ranks at 160 steps per second.
     let tokens = |random: &mut SeededSource| -> Vec<u8> {
         (0..128).map(|_| encode_count(1_000 + random.below(4_000) as u64)).collect()
     };
@@ -32,15 +32,15 @@
     encode(&Control::Counts(counts)).map_or(0.0, |b| b.len() as f64)
 }
 
-/// A difference of maps in which every layer changed.
+/// Encoded size of the delta between two maps that differ in every layer.
 pub fn map_bytes(layers: usize) -> f64 {
     let map = ExpertMap::spread(32, 128, layers as u16, 6);
     let mut popularity = popularity(layers);
-    observe(&mut popularity, layers, 1, &mut SeededSource::new(1));
+    observe_layers(&mut popularity, layers, 1, &mut SeededSource::new(1));
     let mut next = map.clone();
 
-    for (layer, placed) in next.layers.iter_mut().enumerate() {
-        balance(placed, popularity.fractions(layer as u16), &[1.0; 32], DEFAULT_PASSES);
+    for (layer, placement) in next.layers.iter_mut().enumerate() {
+        balance(placement, popularity.fractions(layer as u16), &[1.0; 32], DEFAULT_PASSES);
     }
 
     encode(&map.delta_to(&next)).map_or(0.0, |b| b.len() as f64)
@@ -50,12 +50,17 @@
     Popularity::new(layers as u16, 128, PopularityOptions::default())
 }
 
-/// Memory of an estimate.
+/// Memory of a popularity estimate.
 pub fn popularity_bytes(layers: usize) -> f64 {
-    held(|| popularity(layers))
+    retained_bytes(|| popularity(layers))
 }
 
-fn observe(popularity: &mut Popularity, layers: usize, report: u64, random: &mut SeededSource) {
+fn observe_layers(
+    popularity: &mut Popularity,
+    layers: usize,
+    report: u64,
+    random: &mut SeededSource,
+) {
     for layer in 0..layers as u16 {
         let drawn = (0..128).map(|e| 50.0 + 3_000.0 / (1 + e) as f32 + random.unit() as f32 * 9.0);
         let tokens: Vec<f32> = drawn.collect();
@@ -63,26 +68,26 @@
     }
 }
 
-/// One report taken in.
+/// Time to record one report of all layers in the estimate.
 pub fn popularity_ms(layers: usize) -> f64 {
     let mut popularity = popularity(layers);
     let mut random = SeededSource::new(1);
     let mut report = 0;
 
-    least_s(5, || {
+    min_time_s(5, || {
         report += 1;
-        observe(&mut popularity, layers, report, &mut random);
+        observe_layers(&mut popularity, layers, report, &mut random);
     }) * 1e3
 }
 
-/// One plan.
+/// Time of one plan.
 pub fn plan_ms(layers: usize) -> f64 {
     let map = ExpertMap::spread(32, 128, layers as u16, 6);
     let mut popularity = popularity(layers);
     let mut random = SeededSource::new(1);
 
     for report in 1..20 {
-        observe(&mut popularity, layers, report, &mut random);
+        observe_layers(&mut popularity, layers, report, &mut random);
     }
 
     let group = GroupState {
@@ -92,12 +97,12 @@
         rank_costs: &[1.0; 32],
         max_changed_experts: usize::MAX,
     };
-    least_s(5, || {
+    min_time_s(5, || {
         black_box(Planner::default().plan(&group));
     }) * 1e3
 }
 
-/// All messages of one switch without its map, over all members.
+/// Encoded size of the messages of one switch, summed over the members, without the map.
 pub fn switch_bytes(members: usize) -> f64 {
     let version = MapVersion { epoch: 70, proposer: 0, number: 900 };
     let roster = vec![1u64 << 40; members];
--- a/grebedeck-lab/src/cost/probes/order.rs
+++ b/grebedeck-lab/src/cost/probes/order.rs
@@ -1,25 +1,25 @@
-//! Costs of those who wait for a place.
+//! Probes of the admission queue.
 
 use std::hint::black_box;
 use std::time::Duration;
 
 use grebedeck_admission::{Order, Queue, QueueOptions, Ticket, Waiter};
 
-use super::{held, least_s};
+use super::{min_time_s, retained_bytes};
 
 const MS: fn(u64) -> Duration = Duration::from_millis;
 
 fn waiter(at: u64) -> Waiter {
-    // Spread over urgencies, organisations and moments, in no order.
-    let drawn = at.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 20;
+    // A hash of the number spreads waiters over urgencies, organisations and deadlines.
+    let hash = at.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 20;
 
     Waiter {
-        urgency: (1, (drawn % 3) as u8),
-        organisation: format!("organisation-{}", drawn % 24),
+        urgency: (1, (hash % 3) as u8),
+        organisation: format!("organisation-{}", hash % 24),
         weight: 1,
-        tokens: 200 + drawn % 4000,
-        start_by: MS(1000 + drawn % 800),
-        expires_at: MS(1000 + drawn % 900),
+        tokens: 200 + hash % 4000,
+        start_by: MS(1000 + hash % 800),
+        expires_at: MS(1000 + hash % 900),
         is_resumed: false,
     }
 }
@@ -34,20 +34,20 @@
     (queue, tickets)
 }
 
-/// One that comes, one that gets a place, and one that leaves.
-pub fn order_us(waiting: usize) -> f64 {
+/// Time in which one request is queued, one gets a place and one is removed.
+pub fn queue_us(waiting: usize) -> f64 {
     const ROUNDS: usize = 500;
     let (mut queue, tickets) = queue(waiting);
     let mut at = waiting as u64;
 
-    least_s(5, || {
+    min_time_s(5, || {
         for round in 0..ROUNDS {
             at += 1;
             black_box(queue.push(waiter(at), at, MS(1)).is_ok());
             black_box(queue.pop(MS(1)));
-            let leaves = tickets[round.wrapping_mul(7919) % tickets.len()];
+            let removed = tickets[round.wrapping_mul(7919) % tickets.len()];
 
-            if queue.remove(leaves, MS(1)).is_some() {
+            if queue.remove(removed, MS(1)).is_some() {
                 black_box(queue.push(waiter(at), at, MS(1)).is_ok());
             }
         }
@@ -55,7 +55,7 @@
         / ROUNDS as f64
 }
 
-/// Memory of those who wait, without their requests.
-pub fn order_bytes(waiting: usize) -> f64 {
-    held(|| queue(waiting).0)
+/// Memory of the queue without the waiting requests themselves.
+pub fn queue_bytes(waiting: usize) -> f64 {
+    retained_bytes(|| queue(waiting).0)
 }
--- a/grebedeck-lab/src/cost/probes/routing.rs
+++ b/grebedeck-lab/src/cost/probes/routing.rs
@@ -1,4 +1,4 @@
-//! Costs of requests.
+//! Probes of the request path: choice of a target, admission, the gate and the frames.
 
 use std::hint::black_box;
 use std::time::Duration;
@@ -13,12 +13,12 @@
     StartRequest,
 };
 
-use super::config::all_routes;
-use super::{held, least_s};
+use super::config::allowed_routes;
+use super::{min_time_s, retained_bytes};
 
-/// One choice.
+/// Time of one choice of a target.
 pub fn choice_us(targets: usize) -> f64 {
-    let allowed = all_routes(targets);
+    let allowed = allowed_routes(targets);
     let mut chooser = Chooser::new("hall-0", ChooserOptions::default());
     let mut random = SeededSource::new(1);
 
@@ -28,7 +28,7 @@
     }
 
     const ROUNDS: usize = 200;
-    least_s(5, || {
+    min_time_s(5, || {
         for _ in 0..ROUNDS {
             black_box(chooser.choose(&allowed, &[], Duration::ZERO, &mut random));
         }
@@ -36,15 +36,15 @@
         / ROUNDS as f64
 }
 
-/// The subset of an entry, as its settings have it.
+/// Subset options of an entry, as in its settings.
 const SUBSET: SubsetOptions = SubsetOptions { size: 24, in_other_halls: 12 };
 
-/// One subset.
+/// Time to compute one subset.
 pub fn subset_us(targets: usize) -> f64 {
-    let allowed = all_routes(targets);
+    let allowed = allowed_routes(targets);
     const ROUNDS: usize = 100;
 
-    least_s(5, || {
+    min_time_s(5, || {
         for _ in 0..ROUNDS {
             black_box(subset(&allowed, "entry-17", "hall-0", SUBSET));
         }
@@ -52,9 +52,9 @@
         / ROUNDS as f64
 }
 
-/// Memory of views.
+/// Memory of a chooser that has a load report of each target.
 pub fn view_bytes(targets: usize) -> f64 {
-    held(|| {
+    retained_bytes(|| {
         let mut chooser = Chooser::new("hall-0", ChooserOptions::default());
 
         for n in 0..targets {
@@ -76,12 +76,12 @@
     admission
 }
 
-/// One place taken and given back.
+/// Time to admit one request and to release it.
 pub fn admission_us(organisations: usize) -> f64 {
     let mut admission = filled_admission(organisations);
     const ROUNDS: usize = 2_000;
 
-    least_s(5, || {
+    min_time_s(5, || {
         for _ in 0..ROUNDS {
             let _ = black_box(admission.enter("organisation-00000", false));
             admission.leave("organisation-00000");
@@ -90,9 +90,9 @@
         / ROUNDS as f64
 }
 
-/// Memory of places in use.
+/// Memory of the admission state with one request per organisation in flight.
 pub fn admission_bytes(organisations: usize) -> f64 {
-    held(|| filled_admission(organisations))
+    retained_bytes(|| filled_admission(organisations))
 }
 
 fn filled_gate(keys: usize) -> Gate {
@@ -100,13 +100,13 @@
     let mut gate = Gate::new(1, 0, options);
 
     for n in 0..keys {
-        admit(&mut gate, n as u128);
+        admit_and_finish(&mut gate, n as u128);
     }
 
     gate
 }
 
-fn admit(gate: &mut Gate, n: u128) {
+fn admit_and_finish(gate: &mut Gate, n: u128) {
     let at = Duration::ZERO;
     let attempt = AttemptId { request: n, number: 0 };
     let key = Key { digest: n, issued_unix_ms: Some(9_000) };
@@ -123,24 +123,24 @@
     gate.finish(attempt, true, at);
 }
 
-/// One attempt through the gate.
+/// Time to admit and finish one attempt at the gate.
 pub fn gate_us(keys: usize) -> f64 {
     let mut gate = filled_gate(keys);
-    let mut next = keys as u128;
+    let mut next_key = keys as u128;
     const ROUNDS: usize = 500;
 
-    least_s(5, || {
+    min_time_s(5, || {
         for _ in 0..ROUNDS {
-            admit(&mut gate, next);
-            next += 1;
+            admit_and_finish(&mut gate, next_key);
+            next_key += 1;
         }
     }) * 1e6
         / ROUNDS as f64
 }
 
-/// Memory of remembered keys.
+/// Memory of a gate that remembers `keys` keys.
 pub fn gate_bytes(keys: usize) -> f64 {
-    held(|| filled_gate(keys))
+    retained_bytes(|| filled_gate(keys))
 }
 
 const ATTEMPT: AttemptId = AttemptId { request: u128::MAX, number: 0 };
@@ -152,7 +152,7 @@
     digest.end_mark()
 }
 
-/// Frames of a request.
+/// Encoded size of the frames of a request.
 pub fn request_bytes(body: usize) -> f64 {
     let body = vec![7u8; body];
     let start = WorkStart {
@@ -178,7 +178,7 @@
     frames.into_iter().map(|f| f.map_or(0.0, |b| b.len() as f64)).sum()
 }
 
-/// Frames of a streamed answer.
+/// Encoded size of the frames of a streamed answer.
 pub fn answer_bytes(events: usize) -> f64 {
     let event = vec![b'x'; 24];
     let head = AnswerHead {
