--- a/grebedeck-lab/src/command.rs
+++ b/grebedeck-lab/src/command.rs
@@ -1,4 +1,4 @@
-//! The experiments, one module each.
+//! The subcommands of `grebedeck-lab`, one module each.
 
 pub mod cost;
 pub mod experts;
--- a/grebedeck-lab/src/command/experts.rs
+++ b/grebedeck-lab/src/command/experts.rs
@@ -1,4 +1,6 @@
-//! Policies for expert maps, compared on the same draws.
+//! The `experts` command: compares policies for expert maps in a simulated group.
+//!
+//! All policies of a run see the same random draws, so that their figures can be compared.
 
 use std::collections::BTreeMap;
 
@@ -9,70 +11,70 @@
 use crate::balance::sim::{COST_PROFILE, Report, SKEW_PROFILE, Setup, run as run_sim};
 use crate::balance::{PolicyKind, TraceKind};
 
-/// What to run.
+/// Options of the `experts` command.
 #[derive(Clone, Debug, Bpaf)]
 pub struct ExpertsOptions {
-    /// steady, slow, topic, launch, flip, stall, or all
+    /// Load trace: steady, slow, topic, launch, flip, stall, or all
     #[bpaf(long, argument("TRACE"), fallback("all".to_string()))]
     pub trace: String,
-    /// static, repack, threshold, ours or clairvoyant
+    /// Policy: static, repack, threshold, ours or clairvoyant
     #[bpaf(long, argument("POLICY"), fallback("ours".to_string()))]
     pub policy: String,
-    /// Run the other policies on the same draws too
+    /// Run all policies on the same random draws
     pub compare: bool,
-    /// skew or cost: which of the two is weighed more heavily
+    /// Objective with the larger weight: skew or cost
     #[bpaf(long, argument("PROFILE"), fallback("skew".to_string()))]
     pub profile: String,
-    /// Ranks of the group
+    /// Number of ranks of the group
     #[bpaf(long, argument("N"), fallback(16))]
     pub ranks: u16,
-    /// Experts of a layer
+    /// Number of experts of a layer
     #[bpaf(long, argument("N"), fallback(64))]
     pub experts: usize,
-    /// Layers
+    /// Number of layers
     #[bpaf(long, argument("N"), fallback(4))]
     pub layers: usize,
-    /// Experts of a layer that fit on a rank
+    /// Maximum number of experts of a layer on one rank
     #[bpaf(long, argument("N"), fallback(6))]
     pub slots_per_rank: u16,
-    /// Steps of each run
+    /// Number of steps of each run
     #[bpaf(long, argument("N"), fallback(30_000))]
     pub steps: u64,
-    /// Period of flip and topic, and mean time between launches
+    /// Period of the traces flip and topic, and mean time between launches, in steps
     #[bpaf(long, argument("N"), fallback(10_000))]
     pub period_steps: u64,
-    /// Time of a step without tokens
+    /// Duration of a step without tokens
     #[bpaf(long, argument("MS"), fallback(3.0))]
     pub base_ms: f64,
-    /// Time that a step's tokens take on level ranks
+    /// Time that a step's tokens take on balanced ranks
     #[bpaf(long, argument("MS"), fallback(3.0))]
     pub work_ms: f64,
     /// Time to load one expert of one layer
     #[bpaf(long, argument("MS"), fallback(44.0))]
     pub move_ms: f64,
-    /// Tokens routed in each layer and step
+    /// Number of tokens routed in each layer and step
     #[bpaf(long, argument("N"), fallback(8192.0))]
     pub tokens_per_step: f64,
     /// Seed of the first run
     #[bpaf(long, argument("SEED"), fallback(1))]
     pub seed: u64,
-    /// Number of runs with seeds one after another
+    /// Number of runs, with consecutive seeds
     #[bpaf(long, argument("N"), fallback(1))]
     pub seeds: u64,
     /// Print JSON
     pub json: bool,
 }
 
-/// Runs the policies and prints what they showed.
+/// Runs the simulations, with one thread per seed, and prints a row per trace and policy.
 pub fn run(options: &ExpertsOptions) -> Result<()> {
     let traces = match options.trace.as_str() {
         "all" => TraceKind::ALL.to_vec(),
         name => vec![TraceKind::parse(name).with_context(|| format!("trace: `{name}`"))?],
     };
-    let asked = PolicyKind::parse(&options.policy)
+    let selected = PolicyKind::parse(&options.policy)
         .with_context(|| format!("policy: `{}`", options.policy))?;
-    let policies = if options.compare { PolicyKind::ALL.to_vec() } else { vec![asked] };
-    let setup = setup(options)?;
+    let policies = if options.compare { PolicyKind::ALL.to_vec() } else { vec![selected] };
+    let setup = simulation_setup(options)?;
     let mut rows = Vec::new();
 
     for trace in traces {
@@ -86,7 +88,7 @@
                 .collect();
             let reports: Vec<Report> =
                 workers.into_iter().map(|w| w.join().expect("a run does not panic")).collect();
-            rows.push(row(trace, *policy, &reports));
+            rows.push(summarize(trace, *policy, &reports));
         }
     }
 
@@ -94,7 +96,7 @@
     Ok(())
 }
 
-fn setup(options: &ExpertsOptions) -> Result<Setup> {
+fn simulation_setup(options: &ExpertsOptions) -> Result<Setup> {
     let profile = match options.profile.as_str() {
         "skew" => SKEW_PROFILE,
         "cost" => COST_PROFILE,
@@ -123,8 +125,8 @@
     })
 }
 
-/// Mean, lowest and highest of each figure over the seeds.
-fn row(trace: TraceKind, policy: PolicyKind, reports: &[Report]) -> Value {
+/// Returns the mean, minimum and maximum of each figure over the seeds.
+fn summarize(trace: TraceKind, policy: PolicyKind, reports: &[Report]) -> Value {
     let mut figures: BTreeMap<String, Vec<f64>> = BTreeMap::new();
 
     for report in reports {
--- a/grebedeck-lab/src/command/losses.rs
+++ b/grebedeck-lab/src/command/losses.rs
@@ -1,4 +1,4 @@
-//! Where worth was lost, by the logs of a bad minute.
+//! The `losses` command: counts late, refused and failed requests by cause, from process logs.
 
 use std::path::PathBuf;
 
@@ -7,13 +7,13 @@
 
 use crate::losses::{Limits, Table, losses};
 
-/// Which logs to read.
+/// Options of the `losses` command.
 #[derive(Clone, Debug, Bpaf)]
 pub struct LossesOptions {
-    /// Longest pause between events that is wanted, in milliseconds
+    /// Longest acceptable pause between the events of a stream, in milliseconds
     #[bpaf(long("pause-ms"), argument("MS"), fallback(120))]
     pub pause_ms: i64,
-    /// Length of the spans that losses are counted in, in milliseconds
+    /// Length of the time spans by which losses are counted, in milliseconds
     #[bpaf(long("span-ms"), argument("MS"), fallback(2_000))]
     pub span_ms: i64,
     /// Print JSON
@@ -23,23 +23,23 @@
     pub logs: Vec<PathBuf>,
 }
 
-/// Reads the logs and prints what was lost to which cause.
+/// Reads the logs and prints the number of losses by cause, by route and by time span.
 pub fn run(options: &LossesOptions) -> Result<()> {
     let read =
         |path: &PathBuf| std::fs::read_to_string(path).with_context(|| path.display().to_string());
     let texts: Vec<String> = options.logs.iter().map(read).collect::<Result<_>>()?;
-    let found = losses(&texts, Limits { pause_ms: options.pause_ms });
-    let table = Table::new(&found, options.span_ms);
+    let found_losses = losses(&texts, Limits { pause_ms: options.pause_ms });
+    let table = Table::new(&found_losses, options.span_ms);
 
     if options.json {
         println!("{}", serde_json::to_string(&table)?);
         return Ok(());
     }
 
-    println!("losses: {}", found.len());
+    println!("losses: {}", found_losses.len());
 
     for (cause, count) in &table.by_cause {
-        println!("{count:>7}  {}", word(cause)?);
+        println!("{count:>7}  {}", cause_name(cause)?);
     }
 
     for (route, count) in &table.by_route {
@@ -48,15 +48,17 @@
 
     for (span, causes) in &table.by_span {
         let at_s = (span * table.span_ms) as f64 / 1000.0;
-        let parts: Result<Vec<String>> =
-            causes.iter().map(|(cause, count)| Ok(format!("{} {count}", word(cause)?))).collect();
+        let parts: Result<Vec<String>> = causes
+            .iter()
+            .map(|(cause, count)| Ok(format!("{} {count}", cause_name(cause)?)))
+            .collect();
         println!("{at_s:>7.1} s  {}", parts?.join(", "));
     }
 
     Ok(())
 }
 
-/// Gets a cause's word as it stands in the JSON.
-fn word(cause: &crate::losses::Cause) -> Result<String> {
+/// Returns the name of a cause as in the JSON output.
+fn cause_name(cause: &crate::losses::Cause) -> Result<String> {
     Ok(serde_json::to_value(cause)?.as_str().unwrap_or_default().to_string())
 }
--- a/grebedeck-lab/src/command/path.rs
+++ b/grebedeck-lab/src/command/path.rs
@@ -1,4 +1,5 @@
-//! What the way through entry and agent adds to a call, and what one entry carries.
+//! The `path` command: measures the latency that an entry and an agent add to a call, and the
+//! request rate of one entry.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -11,66 +12,67 @@
 use crate::caller::Caller;
 use crate::site::{Site, SiteOptions};
 
-/// What to measure.
+/// Options of the `path` command.
 #[derive(Clone, Debug, Bpaf)]
 pub struct PathOptions {
-    /// Calls one after another, for the latency
+    /// Number of consecutive calls, for the latency
     #[bpaf(long, argument("N"), fallback(5_000))]
     pub calls: usize,
-    /// Connections at the same time, for the rate
+    /// Number of concurrent connections, for the rate
     #[bpaf(long, argument("N"), fallback(64))]
     pub connections: usize,
-    /// Calls of each connection, for the rate
+    /// Number of calls on each connection, for the rate
     #[bpaf(long, argument("N"), fallback(500))]
     pub calls_each: usize,
 }
 
-/// Calls that are made before anything is counted.
-const WARM_UP: usize = 200;
+/// Calls before the first one that is recorded.
+const WARM_UP_CALLS: usize = 200;
 
-/// Measures and prints the figures as JSON.
+/// Measures latency and rate, and prints the figures as JSON.
 pub fn run(options: &PathOptions) -> Result<()> {
     async_std::task::block_on(measure(options))
 }
 
 async fn measure(options: &PathOptions) -> Result<()> {
     let mut site_options = SiteOptions { groups: 0, entries: 1, ..SiteOptions::default() };
-    // Groups would take processor time with their steps.
+    // No groups: their steps would take processor time from the calls.
     site_options.plain_targets = 3;
     let site = Site::start(&site_options).await?;
     let entry = site.entry_addresses()[0];
     let direct = site.servers["roster-0"].address;
 
-    // Direct and through calls take turns, so that both see the same machine.
-    let (mut straight, mut through) = (histogram(), histogram());
+    // Direct and proxied calls alternate, so that the load of the machine affects both alike.
+    let (mut direct_times, mut proxied_times) = (histogram(), histogram());
     let (direct_caller, entry_caller) = (caller(direct), caller(entry));
 
-    for round in 0..options.calls + WARM_UP {
-        let straight_took = timed(&direct_caller).await?;
-        let through_took = timed(&entry_caller).await?;
+    for round in 0..options.calls + WARM_UP_CALLS {
+        let direct_ns = call_time_ns(&direct_caller).await?;
+        let proxied_ns = call_time_ns(&entry_caller).await?;
 
-        if round >= WARM_UP {
-            straight.record(straight_took)?;
-            through.record(through_took)?;
+        if round >= WARM_UP_CALLS {
+            direct_times.record(direct_ns)?;
+            proxied_times.record(proxied_ns)?;
         }
     }
 
     let direct_rate = rate(direct, options).await?;
-    let entry_rate = rate(entry, options).await?;
+    let proxied_rate = rate(entry, options).await?;
     let added = |at: f64| {
-        let (through, straight) = (through.value_at_quantile(at), straight.value_at_quantile(at));
-        (through as f64 - straight as f64) / 1e3
+        let (proxied_ns, direct_ns) =
+            (proxied_times.value_at_quantile(at), direct_times.value_at_quantile(at));
+        (proxied_ns as f64 - direct_ns as f64) / 1e3
     };
 
     println!(
         "{}",
         json!({
             "calls": options.calls,
-            "direct_us": quantiles(&straight),
-            "through_us": quantiles(&through),
+            "direct_us": quantiles(&direct_times),
+            "through_us": quantiles(&proxied_times),
             "added_us": { "p50": added(0.5), "p99": added(0.99) },
-            "requests_per_s": { "direct": direct_rate, "through": entry_rate },
-            "rate_ratio": entry_rate / direct_rate,
+            "requests_per_s": { "direct": direct_rate, "through": proxied_rate },
+            "rate_ratio": proxied_rate / direct_rate,
             "connections": options.connections,
         })
     );
@@ -82,7 +84,7 @@
     Caller::new(address, "northwind", "roster")
 }
 
-async fn timed(caller: &Caller) -> Result<u64> {
+async fn call_time_ns(caller: &Caller) -> Result<u64> {
     let start = Instant::now();
     let answer = caller.get("/members/7").await?;
     anyhow::ensure!(answer.status == 200, "status {}: {}", answer.status, answer.text());
@@ -99,7 +101,7 @@
                 let caller = caller(address);
 
                 for _ in 0..calls {
-                    timed(&caller).await?;
+                    call_time_ns(&caller).await?;
                 }
 
                 anyhow::Ok(())
--- a/grebedeck-lab/src/command/routing.rs
+++ b/grebedeck-lab/src/command/routing.rs
@@ -1,4 +1,5 @@
-//! Choice of a target by several policies, on the same arrivals.
+//! The `routing` command: compares policies for choosing a target in a simulation, on the same
+//! arrivals.
 
 use std::time::Duration;
 
@@ -9,56 +10,56 @@
 
 use crate::routing::{Choice, Setup, Waits, run as run_sim};
 
-/// What to run.
+/// Options of the `routing` command.
 #[derive(Clone, Debug, Bpaf)]
 pub struct RoutingOptions {
-    /// Entries
+    /// Number of entries
     #[bpaf(long, argument("N"), fallback(4))]
     pub entries: usize,
-    /// Targets
+    /// Number of targets
     #[bpaf(long, argument("N"), fallback(16))]
     pub targets: usize,
-    /// Places of each target
+    /// Number of places of each target
     #[bpaf(long, argument("N"), fallback(16))]
     pub places: usize,
-    /// Part of all places that is busy on average
+    /// Offered load, as a fraction of all places
     #[bpaf(long, argument("PART"), fallback(0.8))]
     pub load: f64,
-    /// Organisations; the first is the loud one
+    /// Number of organisations; the first is the loud one
     #[bpaf(long, argument("N"), fallback(10))]
     pub organisations: usize,
-    /// Part of the requests that the loud organisation sends
+    /// Fraction of the requests that the loud organisation sends
     #[bpaf(long, argument("PART"), fallback(0.1))]
     pub loud: f64,
-    /// Age of reports in milliseconds
+    /// Age of load reports on arrival and interval between them, in milliseconds
     #[bpaf(long, argument("MS"), fallback(1_000))]
     pub report_lag_ms: u64,
-    /// Mean time of a request in its place, in milliseconds
+    /// Mean service time of a request, in milliseconds
     #[bpaf(long, argument("MS"), fallback(2_000))]
     pub service_ms: u64,
-    /// Deviation of the logarithm of that time
+    /// Standard deviation of the logarithm of the service time
     #[bpaf(long, argument("X"), fallback(1.0))]
     pub tail: f64,
-    /// Seconds of a run
+    /// Duration of a run, in seconds
     #[bpaf(long, argument("S"), fallback(300))]
     pub time_s: u64,
-    /// Targets that `ours` draws
+    /// Number of random targets that the policy `ours` compares
     #[bpaf(long, argument("N"), fallback(ChooserOptions::default().draws))]
     pub draws: usize,
-    /// Time of a first token without waiting, in milliseconds
+    /// Time to the first token without waiting, in milliseconds
     #[bpaf(long, argument("MS"), fallback(200.0))]
     pub prefill_ms: f64,
     /// Seed of the first run
     #[bpaf(long, argument("SEED"), fallback(1))]
     pub seed: u64,
-    /// Number of runs with seeds one after another
+    /// Number of runs, with consecutive seeds
     #[bpaf(long, argument("N"), fallback(4))]
     pub seeds: u64,
     /// Print JSON
     pub json: bool,
 }
 
-/// Runs all policies and prints the time to the first token.
+/// Runs all policies, with one thread per seed, and prints the times to the first token.
 pub fn run(options: &RoutingOptions) -> Result<()> {
     let setup = Setup {
         entries: options.entries,
--- a/grebedeck-lab/src/command/storm.rs
+++ b/grebedeck-lab/src/command/storm.rs
@@ -1,7 +1,9 @@
-//! Many requests to a fleet whose processes are killed and frozen, and a check of every promise.
+//! The `storm` command: sends requests to a fleet whose processes are killed and frozen, and checks
+//! the execution guarantees.
 //!
-//! Each request names its run, and the target counts the runs that it made. What callers were told
-//! is compared with what was run. `scripts/storm.sh` starts the processes and does the killing.
+//! Each request carries a run ID, and the target counts its executions per ID. The outcomes that
+//! callers received are compared with these counts. `scripts/storm.sh` starts the processes and
+//! injects the faults.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -22,19 +24,19 @@
 use crate::caller::{Caller, CallerAnswer};
 use crate::plain::{RUN_HEADER, RUNS_PATH};
 
-/// What to send.
+/// Options of the `storm` command.
 #[derive(Clone, Debug, Bpaf)]
 pub struct StormOptions {
     /// Directory of the fleet's settings
     #[bpaf(long, argument("DIR"))]
     pub dir: PathBuf,
-    /// Requests
+    /// Number of requests
     #[bpaf(long, argument("N"), fallback(20_000))]
     pub requests: u64,
-    /// Callers at the same time
+    /// Number of concurrent callers
     #[bpaf(long, argument("N"), fallback(64))]
     pub callers: usize,
-    /// Let callers repeat what must run once, to show that the check notices
+    /// Let callers retry non-repeatable requests without a key, to show that the check detects it
     pub break_callers: bool,
     /// Seed of the requests
     #[bpaf(long, argument("SEED"), fallback(1))]
@@ -42,65 +44,68 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Kind {
+enum RequestKind {
     Repeatable,
     NotRepeatable,
     Keyed,
 }
 
-/// What a caller was told of one run, over all of its tries.
+/// Outcome of one run for its caller, over all attempts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Told {
+enum Outcome {
     Done,
     NotRun,
     Unknown,
 }
 
-struct Record {
+struct RunRecord {
     run: String,
-    kind: Kind,
-    told: Told,
-    wrong_body: bool,
+    kind: RequestKind,
+    outcome: Outcome,
+    has_wrong_body: bool,
 }
 
-/// Longest time that a caller waits for an answer.
-const PATIENCE: Duration = Duration::from_secs(20);
-/// Tries of a caller with a key.
-const KEYED_TRIES: u32 = 3;
-/// Wait before a caller with a key tries again.
-const KEYED_WAIT: Duration = Duration::from_millis(300);
+/// Time that a caller waits for an answer.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(20);
+/// Maximum number of attempts of a caller with an idempotency key.
+const KEYED_ATTEMPTS: u32 = 3;
+/// Delay before a caller with an idempotency key retries.
+const KEYED_RETRY_DELAY: Duration = Duration::from_millis(300);
 
-/// Sends the requests, checks the promises and prints the figures; a broken promise is an error.
+/// Sends the requests, checks the guarantees and prints the figures.
+///
+/// A violated guarantee is an error.
 pub fn run(options: &StormOptions) -> Result<()> {
     async_std::task::block_on(async {
         let fleet = Fleet::try_new(&options.dir)?;
         fleet.wait_until_up().await?;
         let first = fleet.apply(&fleet.first_change(10)).await?;
         fleet.wait_in_force(first).await?;
-        // Keys must be younger than the first revision by the time in which it spreads.
+        // A key must be issued later than the first revision by more than the time in which a
+        // revision takes effect everywhere.
         async_std::task::sleep(Duration::from_secs(5)).await;
 
         let start = Instant::now();
         let records = send_all(options, &fleet.caller_addresses()).await;
-        let took_s = start.elapsed().as_secs_f64();
+        let elapsed_s = start.elapsed().as_secs_f64();
         let runs = read_runs(fleet.target_address()).await?;
 
-        report(&records, &runs, took_s)
+        report(&records, &runs, elapsed_s)
     })
 }
 
-async fn send_all(options: &StormOptions, entries: &[SocketAddr]) -> Vec<Record> {
-    let next = Arc::new(AtomicU64::new(0));
+async fn send_all(options: &StormOptions, entries: &[SocketAddr]) -> Vec<RunRecord> {
+    let started = Arc::new(AtomicU64::new(0));
     let workers: Vec<_> = (0..options.callers)
         .map(|worker| {
-            let (next, entries, total) = (next.clone(), entries.to_vec(), options.requests);
+            let (started, entries, total) = (started.clone(), entries.to_vec(), options.requests);
             let break_callers = options.break_callers;
             let mut random = SeededSource::new(options.seed + worker as u64);
 
             async_std::task::spawn(async move {
                 let mut records = Vec::new();
 
-                while next.fetch_add(1, Ordering::Relaxed) < total {
+                while started.fetch_add(1, Ordering::Relaxed) < total {
                     let run = format!("run-{worker}-{}", records.len());
                     records.push(send_one(&entries, run, break_callers, &mut random).await);
                 }
@@ -118,99 +123,102 @@
     run: String,
     break_callers: bool,
     random: &mut SeededSource,
-) -> Record {
+) -> RunRecord {
     let kind = match random.below(10) {
-        0..=3 => Kind::Repeatable,
-        4..=6 => Kind::NotRepeatable,
-        _ => Kind::Keyed,
+        0..=3 => RequestKind::Repeatable,
+        4..=6 => RequestKind::NotRepeatable,
+        _ => RequestKind::Keyed,
     };
-    let issued = unix_ms();
-    let repeats = kind == Kind::Keyed || (break_callers && kind == Kind::NotRepeatable);
-    let tries = if repeats { KEYED_TRIES } else { 1 };
-    let mut told = Told::NotRun;
-    let mut wrong_body = false;
-
-    for attempt in 0..tries {
+    let issued_unix_ms = unix_ms();
+    let can_retry =
+        kind == RequestKind::Keyed || (break_callers && kind == RequestKind::NotRepeatable);
+    let attempts = if can_retry { KEYED_ATTEMPTS } else { 1 };
+    let mut outcome = Outcome::NotRun;
+    let mut has_wrong_body = false;
+
+    for attempt in 0..attempts {
         if attempt > 0 {
-            async_std::task::sleep(KEYED_WAIT).await;
+            async_std::task::sleep(KEYED_RETRY_DELAY).await;
         }
 
         let entry = entries[random.below(entries.len())];
         let delay_ms = random.below(40);
         let body = format!("{run} ").repeat(1 + random.below(200));
-        let answer = call(entry, &run, kind, issued, delay_ms, &body).await;
+        let answer = call(entry, &run, kind, issued_unix_ms, delay_ms, &body).await;
 
         match answer.map(|a| (a.outcome.clone(), a)) {
-            Some((outcome, answer)) if outcome == "done" && answer.status == 200 => {
-                wrong_body |= answer.text().split_once('\n').is_none_or(|(_, echo)| echo != body);
-                told = Told::Done;
+            Some((answered, answer)) if answered == "done" && answer.status == 200 => {
+                has_wrong_body |=
+                    answer.text().split_once('\n').is_none_or(|(_, echo)| echo != body);
+                outcome = Outcome::Done;
                 break;
             }
-            Some((outcome, _)) if outcome == "not-run" || outcome == "refused" => {}
-            _ => told = Told::Unknown,
+            Some((answered, _)) if answered == "not-run" || answered == "refused" => {}
+            _ => outcome = Outcome::Unknown,
         }
     }
 
-    Record { run, kind, told, wrong_body }
+    RunRecord { run, kind, outcome, has_wrong_body }
 }
 
 async fn call(
     entry: SocketAddr,
     run: &str,
-    kind: Kind,
-    issued: u64,
+    kind: RequestKind,
+    issued_unix_ms: u64,
     delay_ms: usize,
     body: &str,
 ) -> Option<CallerAnswer> {
     let caller = Caller::new(entry, "org-0", "roster");
-    let method = if kind == Kind::Repeatable { Method::Put } else { Method::Post };
+    let method = if kind == RequestKind::Repeatable { Method::Put } else { Method::Post };
     let mut request = caller.request(method, &format!("/grants?delay_ms={delay_ms}"));
     request.insert_header(RUN_HEADER, run);
 
-    if kind == Kind::Keyed {
+    if kind == RequestKind::Keyed {
         request.insert_header("idempotency-key", run);
-        request.insert_header("idempotency-issued-ms", issued.to_string());
+        request.insert_header("idempotency-issued-ms", issued_unix_ms.to_string());
     }
 
     request.set_body(body);
-    async_std::future::timeout(PATIENCE, caller.send(request)).await.ok()?.ok()
+    async_std::future::timeout(ANSWER_TIMEOUT, caller.send(request)).await.ok()?.ok()
 }
 
 async fn read_runs(target: SocketAddr) -> Result<HashMap<String, u32>> {
-    let answer = Caller::new(target, "", "").get(RUNS_PATH).await.context("the target's runs")?;
+    let answer =
+        Caller::new(target, "", "").get(RUNS_PATH).await.context("read the target's run counts")?;
 
     Ok(serde_json::from_slice(&answer.body)?)
 }
 
-fn report(records: &[Record], runs: &HashMap<String, u32>, took_s: f64) -> Result<()> {
-    let ran = |r: &Record| runs.get(&r.run).copied().unwrap_or(0);
-    let count = |test: &dyn Fn(&Record) -> bool| records.iter().filter(|r| test(r)).count();
-    let once = |r: &Record| r.kind != Kind::Repeatable;
+fn report(records: &[RunRecord], runs: &HashMap<String, u32>, elapsed_s: f64) -> Result<()> {
+    let run_count = |r: &RunRecord| runs.get(&r.run).copied().unwrap_or(0);
+    let count = |test: &dyn Fn(&RunRecord) -> bool| records.iter().filter(|r| test(r)).count();
+    let runs_at_most_once = |r: &RunRecord| r.kind != RequestKind::Repeatable;
 
-    let broken = BTreeMap::from([
-        ("second runs", count(&|r| once(r) && ran(r) > 1)),
-        ("false 'not run'", count(&|r| r.told == Told::NotRun && ran(r) > 0)),
-        ("'done' without a run", count(&|r| r.told == Told::Done && ran(r) == 0)),
-        ("answers of another request", count(&|r| r.wrong_body)),
+    let violations = BTreeMap::from([
+        ("second runs", count(&|r| runs_at_most_once(r) && run_count(r) > 1)),
+        ("false 'not run'", count(&|r| r.outcome == Outcome::NotRun && run_count(r) > 0)),
+        ("'done' without a run", count(&|r| r.outcome == Outcome::Done && run_count(r) == 0)),
+        ("answers of another request", count(&|r| r.has_wrong_body)),
     ]);
 
     println!(
         "{}",
         json!({
             "requests": records.len(),
-            "seconds": took_s,
-            "done": count(&|r| r.told == Told::Done),
-            "not_run": count(&|r| r.told == Told::NotRun),
-            "unknown": count(&|r| r.told == Told::Unknown),
-            "unknown_that_ran": count(&|r| r.told == Told::Unknown && ran(r) > 0),
-            "keyed": count(&|r| r.kind == Kind::Keyed),
-            "not_repeatable": count(&|r| r.kind == Kind::NotRepeatable),
-            "broken": broken,
+            "seconds": elapsed_s,
+            "done": count(&|r| r.outcome == Outcome::Done),
+            "not_run": count(&|r| r.outcome == Outcome::NotRun),
+            "unknown": count(&|r| r.outcome == Outcome::Unknown),
+            "unknown_that_ran": count(&|r| r.outcome == Outcome::Unknown && run_count(r) > 0),
+            "keyed": count(&|r| r.kind == RequestKind::Keyed),
+            "not_repeatable": count(&|r| r.kind == RequestKind::NotRepeatable),
+            "broken": violations,
         })
     );
 
-    if broken.values().any(|n| *n > 0) {
-        bail!("a promise was broken");
+    if violations.values().any(|n| *n > 0) {
+        bail!("at least one guarantee was violated");
     }
 
     Ok(())
--- a/grebedeck-lab/src/command/switch.rs
+++ b/grebedeck-lab/src/command/switch.rs
@@ -1,4 +1,4 @@
-//! Long random runs of the switch protocol.
+//! The `switch` command: checks the switch protocol in long random runs.
 
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::time::Instant;
@@ -10,32 +10,34 @@
 
 use crate::switch_model::{Bounds, Broken, ramble};
 
-/// What to run.
+/// Options of the `switch` command.
 #[derive(Clone, Debug, Bpaf)]
 pub struct SwitchOptions {
     /// Number of runs
     #[bpaf(long, argument("N"), fallback(10_000))]
     pub runs: u64,
-    /// Actions of each run
+    /// Number of actions of each run
     #[bpaf(long, argument("N"), fallback(600))]
     pub actions: usize,
-    /// Members of the group
+    /// Number of members of the group
     #[bpaf(long, argument("N"), fallback(3))]
     pub members: usize,
-    /// Members that are replaced in each run, at most
+    /// Maximum number of members replaced in a run
     #[bpaf(long, argument("N"), fallback(4))]
     pub replacements: u32,
     /// Seed of the first run
     #[bpaf(long, argument("SEED"), fallback(1))]
     pub seed: u64,
-    /// What to break on purpose: none, commit, join or hold
+    /// Part of the protocol to break on purpose: none, commit, join or hold
     #[bpaf(long("break"), argument("WHAT"), fallback("none".to_string()))]
     pub broken: String,
     /// Print JSON
     pub json: bool,
 }
 
-/// Takes the runs and prints what they showed; a violation that was not asked for is an error.
+/// Makes the runs and prints a summary.
+///
+/// A violation is an error unless the protocol was broken on purpose.
 pub fn run(options: &SwitchOptions) -> Result<()> {
     let bounds = Bounds {
         members: options.members,
@@ -43,10 +45,10 @@
         replacements: options.replacements,
         proposals: 12,
         start_arming: false,
-        broken: broken(&options.broken)?,
+        broken: parse_broken(&options.broken)?,
     };
     let start = Instant::now();
-    let (mut commits, mut violations, mut first) = (0, 0, None);
+    let (mut commits, mut violations, mut first_seed) = (0, 0, None);
 
     for seed in options.seed..options.seed + options.runs {
         let mut random = SeededSource::new(seed);
@@ -56,7 +58,7 @@
             Ok(Ok(seen)) => commits += seen.commits,
             _ => {
                 violations += 1;
-                first.get_or_insert(seed);
+                first_seed.get_or_insert(seed);
             }
         }
     }
@@ -67,19 +69,19 @@
         "members": options.members,
         "commits": commits,
         "violations": violations,
-        "first_seed_with_one": first,
+        "first_seed_with_one": first_seed,
         "seconds": start.elapsed().as_secs_f64(),
     });
     println!("{report}");
 
     if bounds.broken == Broken::Sound && violations > 0 {
-        bail!("the switch protocol mixed maps in {violations} runs");
+        bail!("the switch protocol failed in {violations} runs");
     }
 
     Ok(())
 }
 
-fn broken(text: &str) -> Result<Broken> {
+fn parse_broken(text: &str) -> Result<Broken> {
     match text {
         "none" => Ok(Broken::Sound),
         "commit" => Ok(Broken::CommitWithoutAll),
