--- a/grebedeck-lab/tests/config.rs
+++ b/grebedeck-lab/tests/config.rs
@@ -1,4 +1,5 @@
-//! Configuration on real processes: lost answers, races, an away store, restarts.
+//! Configuration changes with real entries and agents when the store loses answers, is down or is
+//! slow, and when operators submit conflicting changes.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -34,7 +35,7 @@
 }
 
 #[test]
-fn a_lost_answer_is_found_again_and_a_repeated_change_is_not_applied_twice() {
+fn a_change_is_applied_once_if_the_stores_answer_is_lost_and_the_change_repeated() {
     async_std::task::block_on(async {
         let site = site().await;
         site.platform.set_faults(TableFaults { lose_answers: 1, ..TableFaults::default() });
@@ -51,19 +52,19 @@
 }
 
 #[test]
-fn of_two_operators_on_the_same_revision_one_is_refused_with_the_newest() {
+fn one_of_two_concurrent_changes_of_the_same_revision_is_refused() {
     async_std::task::block_on(async {
         let site = site().await;
-        let based = |n: usize| Change {
+        let change_of_first_revision = |n: usize| Change {
             base_revision: Some(1),
             ..add_organisation(&format!("race-{n}"), &format!("racer-{n}"))
         };
         let addresses: Vec<_> =
             site.entries.iter().map(|e| e.settings.common.operator_address).collect();
-        let (first, second) =
-            futures::join!(async { apply_at(addresses[0], &based(0)).await }, async {
-                apply_at(addresses[1], &based(1)).await
-            });
+        let (first, second) = futures::join!(
+            async { apply_at(addresses[0], &change_of_first_revision(0)).await },
+            async { apply_at(addresses[1], &change_of_first_revision(1)).await }
+        );
 
         let refused: Vec<_> = [&first, &second]
             .into_iter()
@@ -81,7 +82,7 @@
 }
 
 #[test]
-fn without_the_store_requests_are_served_and_changes_refused() {
+fn requests_are_served_and_changes_refused_while_the_store_is_down() {
     async_std::task::block_on(async {
         let site = site().await;
         site.platform.set_faults(TableFaults { down: true, ..TableFaults::default() });
@@ -99,7 +100,7 @@
 }
 
 #[test]
-fn a_new_process_in_a_cut_off_site_starts_from_its_neighbours() {
+fn a_new_entry_gets_the_configuration_from_peers_while_the_store_is_down() {
     async_std::task::block_on(async {
         let mut site = site().await;
         site.apply(&add_organisation("second", "tailspin")).await.unwrap();
@@ -116,14 +117,14 @@
 }
 
 #[test]
-fn a_slow_store_does_not_slow_requests() {
+fn a_slow_store_does_not_delay_requests() {
     async_std::task::block_on(async {
         let site = site().await;
         let slow = Duration::from_secs(30);
         site.platform.set_faults(TableFaults { slow, ..TableFaults::default() });
         let caller = Caller::new(site.entry_addresses()[0], "northwind", "roster");
 
-        // Far more calls than could wait for the store one after another.
+        // The calls would take far too long if each waited for the store.
         for _ in 0..200 {
             assert_eq!(caller.get("/").await.unwrap().status, 200);
         }
