--- a/scripts/days.py
+++ b/scripts/days.py
@@ -1,10 +1,11 @@
 #!/usr/bin/env python3
-"""Plays each kind of trouble of bench/kinds.txt alone, twice in quick succession, and together with
-planned work or a store that is away.
+"""Plays each kind of trouble of bench/kinds.txt twice in quick succession, and once each combined
+with planned work and with an outage of the store.
 
     scripts/days.py BENCH SITE.toml WHY [--only TEXT] [--partners alone,roll,change,away] [--jobs N]
 
-Makes a copy of the site file whose days are these, plays it, and prints the days whose rules broke.
+Generates a copy of the site file that has these days, plays it, and prints the result. The exit
+status is 1 if a rule was broken on any day.
 """
 
 import argparse
@@ -15,7 +16,7 @@
 import tempfile
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
-# What each kind is paired with, and when: some time before, or in the middle of it.
+# Events to combine each kind with, and their start in seconds relative to that of the kind.
 PARTNERS = {
     "alone": [],
     "roll": [("plan", 'kind = "roll_term", share = 1.0, x = 1.0, gap_s = 1.0', 0.5)],
--- a/scripts/fleet.sh
+++ b/scripts/fleet.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# Measures many real processes on loopback: settings, stand-ins, entries and agents, one run.
+# Measures many real processes on loopback: writes their settings, starts the platform and target
+# stand-ins, the entries and the agents, and runs one measurement.
 # Usage: scripts/fleet.sh ENTRIES AGENTS [further options of `grebedeck-lab fleet-measure`]
 set -euo pipefail
 cd "$(dirname "$0")/.."
@@ -14,7 +15,7 @@
 size=(--dir "$dir" --entries "$entries" --agents "$agents")
 trap 'kill $(jobs -p) 2>/dev/null || true; rm -rf "$dir"' EXIT
 
-# One worker thread a process is what a small instance has.
+# A small instance has one worker thread per process.
 export ASYNC_STD_THREAD_COUNT=1
 
 "$lab" fleet-settings "${size[@]}"
--- a/scripts/regression.py
+++ b/scripts/regression.py
@@ -1,11 +1,11 @@
 #!/usr/bin/env python3
-"""Plays the sites of bench/regression.json and compares each with what stands there.
+"""Plays the sites of bench/regression.json and compares the results with those recorded there.
 
     scripts/regression.py BENCH SITES_DIR WHY [--only TEXT] [--jobs N] [--update]
 
-A site has fallen if its gate is not passed, or if the mean worth of its days with trouble is more than
-`allowed_fall` below the one that stands there: single runs of equal sources differ by about as much. With
---update the new figures are written in place of the old ones, for a commit that says why.
+A site is reported as FALLEN if its gate is not passed, or if the mean worth of its days with trouble
+is more than `allowed_fall` below the recorded one; single runs of the same source differ by about as
+much. With --update the new figures replace the recorded ones; the commit should say why.
 """
 
 import argparse
--- a/scripts/storm.sh
+++ b/scripts/storm.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
 # Sends many requests to a small fleet while its processes are killed, frozen, drained and replaced,
-# and checks every promise. Usage: scripts/storm.sh [options of `grebedeck-lab storm`]
+# and checks the execution guarantees. Fails if one is violated or a process panicked.
+# Usage: scripts/storm.sh [options of `grebedeck-lab storm`]
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
