--- a/grebedeck-lab/src/cost/probes.rs
+++ b/grebedeck-lab/src/cost/probes.rs
@@ -4,7 +4,7 @@
 
 mod config;
 mod experts;
-mod order;
+mod queue;
 mod routing;
 
 use std::hint::black_box;
@@ -128,7 +128,7 @@
         per: "waiting request",
         sizes: &[1_000, 2_500, 5_000, 10_000],
         fleet_size: 10_000.0,
-        cost: order::queue_us,
+        cost: queue::queue_us,
     },
     Probe {
         name: "memory of the order",
@@ -136,7 +136,7 @@
         per: "waiting request",
         sizes: &[1_000, 2_500, 5_000, 10_000],
         fleet_size: 10_000.0,
-        cost: order::queue_bytes,
+        cost: queue::queue_bytes,
     },
     Probe {
         name: "gate",
