--- a/grebedeck/src/gateway/attempt.rs
+++ b/grebedeck/src/gateway/attempt.rs
@@ -38,7 +38,7 @@
         InFlight { gateway: gateway.clone(), target: target.clone(), is_success: None }
     }
 
-    /// Records whether the request shows the target to be healthy.
+    /// Sets whether the request shows the target to be healthy; recorded when this is dropped.
     pub fn record_outcome(&mut self, is_success: bool) {
         self.is_success = Some(is_success);
     }
--- a/grebedeck/src/gateway/halls.rs
+++ b/grebedeck/src/gateway/halls.rs
@@ -135,13 +135,13 @@
 
     /// Returns whether all targets of a service are in evacuated halls.
     pub fn is_evacuated(&self, service: &str) -> bool {
-        self.refresh_halls();
+        self.refresh_if_stale();
         self.with_targets(|targets| targets.is_evacuated(service))
     }
 
-    /// Drops expired targets if housekeeping is late: a process that was suspended may select a
-    /// target before housekeeping runs.
-    pub(super) fn refresh_halls(&self) {
+    /// Removes lapsed targets and applies due changes of halls if housekeeping is late: a process
+    /// that was suspended may select a target before housekeeping runs.
+    pub(super) fn refresh_if_stale(&self) {
         let is_late = self.with_targets(|t| t.is_index_stale(HOUSEKEEPING_PERIOD, self.now()));
 
         if is_late {
--- a/grebedeck/src/gateway/open_response.rs
+++ b/grebedeck/src/gateway/open_response.rs
@@ -53,8 +53,8 @@
     }
 
     /// Reads the whole body within the memory budget for responses, and returns the connection to
-    /// the pool. While there is no memory the target is not read from; after [`RESPONSE_MEMORY_WAIT`] the
-    /// attempt fails.
+    /// the pool. While there is no memory the target is not read from; after
+    /// [`RESPONSE_MEMORY_WAIT`] the attempt fails.
     pub async fn read_whole(mut self) -> Result<(ResponseHead, Buffer), FailureCause> {
         let mut body = Buffer::new(&self.gateway.responses);
         // A known length is reserved at once, so that no two responses wait for each other's
--- a/grebedeck/src/gateway/pace.rs
+++ b/grebedeck/src/gateway/pace.rs
@@ -83,9 +83,9 @@
         self.usual_duration(service).mul_f64(over.min(1.0))
     }
 
-    /// Delay after which the caller of a refused request should return; `None` unless the service's
+    /// Delay after which the caller of a refused request should retry; `None` unless the service's
     /// queue is ordered by urgency and its rate is known.
-    pub fn scheduled_return(
+    pub fn scheduled_retry_after(
         &self,
         request: &RoutedRequest,
         first_slot_in: Duration,
@@ -93,7 +93,7 @@
         let now = self.now();
         let left = request.deadline.saturating_sub(now);
 
-        self.waiting.scheduled_return(
+        self.waiting.scheduled_retry_after(
             &request.service,
             request.admitted.urgency(),
             first_slot_in,
--- a/grebedeck/src/gateway/service.rs
+++ b/grebedeck/src/gateway/service.rs
@@ -282,7 +282,7 @@
 
     /// Targets of a service that accept new work.
     pub fn serving(&self, service: &str) -> Option<Arc<[Arc<TargetEntry>]>> {
-        self.refresh_halls();
+        self.refresh_if_stale();
         self.targets.borrow().serving(service).cloned()
     }
 
@@ -296,7 +296,7 @@
 
     /// Targets of a service that accept new work and are in this gateway's subset.
     pub fn candidates(&self, service: &str) -> Arc<[Arc<TargetEntry>]> {
-        self.refresh_halls();
+        self.refresh_if_stale();
         self.targets.borrow().candidates(service).cloned().unwrap_or_default()
     }
 
--- a/grebedeck/src/gateway/slot.rs
+++ b/grebedeck/src/gateway/slot.rs
@@ -139,7 +139,7 @@
                     NoSlot::RateLimited(left) => left,
                     _ => gateway.expected_slot_wait(service),
                 };
-                let scheduled = gateway.scheduled_return(request, left).filter(|_| is_spread);
+                let scheduled = gateway.scheduled_retry_after(request, left).filter(|_| is_spread);
 
                 scheduled.unwrap_or_else(|| left + left.max(MIN_RETRY_SPREAD).mul_f64(spread))
             }
--- a/grebedeck/src/gateway/suspects.rs
+++ b/grebedeck/src/gateway/suspects.rs
@@ -183,7 +183,7 @@
         self.notify_updates();
     }
 
-    /// Wakes the tasks that publish updates to other gateways and to the store, if there are any.
+    /// Wakes the tasks that send updates to other gateways and to the store, if there are any.
     fn notify_updates(&self) {
         if self.quarantine.borrow().has_updates() {
             self.suspect_updates.notify(usize::MAX);
--- a/grebedeck/src/gateway/wait_queues.rs
+++ b/grebedeck/src/gateway/wait_queues.rs
@@ -44,7 +44,7 @@
 pub(super) struct QueueState {
     /// Waiting requests, in order.
     pub queue: Queue<QueuedRequest>,
-    /// Times at which refused callers were told to return.
+    /// Times at which refused callers were told to retry.
     pub retry_slots: RetrySlots,
     /// Whether a task is assigning slots.
     pub has_task: bool,
@@ -114,10 +114,10 @@
         json!(by_urgency)
     }
 
-    /// Delay after which the caller of a refused request should return, from the rate at which
+    /// Delay after which the caller of a refused request should retry, from the rate at which
     /// slots were assigned lately; `None` if that rate is unknown or the queue is in order of
     /// arrival.
-    pub fn scheduled_return(
+    pub fn scheduled_retry_after(
         &self,
         service: &str,
         urgency: Urgency,
