--- a/grebedeck-lab/src/site.rs
+++ b/grebedeck-lab/src/site.rs
@@ -239,9 +239,7 @@
         match answer.parse()? {
             AcceptResult::Accepted(revision) => Ok(revision),
             AcceptResult::Refused(faults) => bail!("change refused:\n{faults}"),
-            AcceptResult::Unknown => {
-                bail!("outcome of the change is unknown")
-            }
+            AcceptResult::Unknown => bail!("unknown"),
         }
     }
 
