--- a/grebedeck-lab/src/balance/policy.rs
+++ b/grebedeck-lab/src/balance/policy.rs
@@ -17,9 +17,9 @@
 pub enum PolicyKind {
     /// Keeps the first map.
     Static,
-    /// Packs anew at a fixed interval.
+    /// Repacks at a fixed interval.
     Repack,
-    /// Packs anew when the skew exceeds a threshold.
+    /// Repacks when the skew exceeds a threshold.
     Threshold,
     /// Grebedeck's [`Planner`].
     Ours,
@@ -56,7 +56,7 @@
 
 /// Interval of `Repack`.
 const REPACK_STEPS: Step = 3000;
-/// Skew above which `Threshold` packs anew.
+/// Skew above which `Threshold` repacks.
 const SKEW_THRESHOLD: f32 = 1.15;
 /// Number of latest count windows that a packing uses.
 const MAX_PACK_WINDOWS: usize = 10;
--- a/grebedeck-lab/src/routing.rs
+++ b/grebedeck-lab/src/routing.rs
@@ -153,7 +153,7 @@
     /// Loads by the last report that arrived.
     reported: Vec<usize>,
     /// Reports that have not arrived yet.
-    reports_sent: VecDeque<Vec<usize>>,
+    reports_in_transit: VecDeque<Vec<usize>>,
     events: BinaryHeap<Reverse<(Micros, Event)>>,
     random: SeededSource,
     waits_ms: Vec<f64>,
@@ -187,7 +187,7 @@
         admissions: (0..setup.entries).map(|_| Admission::new(Default::default())).collect(),
         next_round_robin,
         reported: vec![0; setup.targets],
-        reports_sent: VecDeque::new(),
+        reports_in_transit: VecDeque::new(),
         events: BinaryHeap::from([Reverse((0, Event::Arrival)), Reverse((0, Event::Report))]),
         random,
         waits_ms: Vec::new(),
@@ -232,8 +232,8 @@
             self.others_refused += u64::from(organisation > 0);
         }
 
-        let places = (self.setup.targets * self.setup.slots) as f64;
-        let rate = places * self.setup.load / self.setup.mean_service_time.as_secs_f64();
+        let total_slots = (self.setup.targets * self.setup.slots) as f64;
+        let rate = total_slots * self.setup.load / self.setup.mean_service_time.as_secs_f64();
         let gap_s = -(1.0 - self.random.unit()).ln() / rate;
         self.events.push(Reverse((now + (gap_s * 1e6) as Micros, Event::Arrival)));
     }
@@ -320,8 +320,8 @@
             }
         }
 
-        let tail = self.setup.service_time_sigma;
-        let factor = (tail * normal(&mut self.random) - tail * tail / 2.0).exp();
+        let sigma = self.setup.service_time_sigma;
+        let factor = (sigma * normal(&mut self.random) - sigma * sigma / 2.0).exp();
         let took_us = (self.setup.mean_service_time.as_secs_f64() * factor * 1e6) as Micros;
         let until = self.setup.duration.as_micros() as Micros;
         self.work_us += (now + took_us).min(until).saturating_sub(now) as f64;
@@ -351,10 +351,10 @@
     /// Sends the loads of all targets to all entries, where they arrive one `report_lag` later.
     /// `ours` ignores them and uses the loads at the ends of answers.
     fn send_report(&mut self, now: Micros) {
-        self.reports_sent.push_back(self.targets.iter().map(Target::load).collect());
+        self.reports_in_transit.push_back(self.targets.iter().map(Target::load).collect());
 
-        if self.reports_sent.len() > 1
-            && let Some(arrived) = self.reports_sent.pop_front()
+        if self.reports_in_transit.len() > 1
+            && let Some(arrived) = self.reports_in_transit.pop_front()
         {
             self.reported = arrived;
         }
--- a/grebedeck-lab/tests/crashes.rs
+++ b/grebedeck-lab/tests/crashes.rs
@@ -1,8 +1,8 @@
 //! Quarantine of a request that crashes every target that runs it, with entries and agents.
 //!
-//! Guards against a crash of one target after the other: an entry retried the request at the next
-//! agent, whose target crashed too, and a further attempt of the caller began anew at another
-//! entry. The agent knew that its target had crashed but only reported that it had no answer.
+//! Guards against such a request crashing one target after another: an entry retried it at the next
+//! agent, whose target crashed too, and the caller's next try started over at another entry. The
+//! agent knew that its target had crashed but only reported that it had no answer.
 
 use std::io::{Read, Write};
 use std::net::{Ipv4Addr, Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -64,7 +64,7 @@
 
     fn accept(&self) {
         loop {
-            let accepted = match &*self.listener.lock().expect("whole") {
+            let accepted = match &*self.listener.lock().expect("not poisoned") {
                 Some(listener) => {
                     listener.set_nonblocking(true).expect("a listener");
                     listener.accept()
@@ -77,7 +77,7 @@
             };
             stream.set_nonblocking(false).expect("a stream");
             let other = stream.try_clone().expect("another handle");
-            self.streams.lock().expect("whole").push(other);
+            self.streams.lock().expect("not poisoned").push(other);
             let target = self.clone();
             std::thread::spawn(move || target.answer(stream));
         }
@@ -95,7 +95,7 @@
                 continue;
             }
 
-            self.deadly.lock().expect("whole").runs.push(Instant::now());
+            self.deadly.lock().expect("not poisoned").runs.push(Instant::now());
 
             if head.contains("/deadly/stream") {
                 let begun = "HTTP/1.1 200 S\r\ntransfer-encoding: chunked\r\n\r\n2\r\nok\r\n";
@@ -104,23 +104,23 @@
             }
 
             std::thread::sleep(CRASH_DELAY);
-            self.deadly.lock().expect("whole").crashes.push(Instant::now());
+            self.deadly.lock().expect("not poisoned").crashes.push(Instant::now());
             return self.crash();
         }
     }
 
     fn crash(&self) {
-        if self.listener.lock().expect("whole").take().is_none() {
+        if self.listener.lock().expect("not poisoned").take().is_none() {
             return;
         }
 
-        for stream in self.streams.lock().expect("whole").drain(..) {
+        for stream in self.streams.lock().expect("not poisoned").drain(..) {
             // The peer may have closed the connection already.
             let _ = stream.shutdown(Shutdown::Both);
         }
 
         std::thread::sleep(DOWNTIME);
-        *self.listener.lock().expect("whole") =
+        *self.listener.lock().expect("not poisoned") =
             Some(TcpListener::bind(self.address).expect("its own port"));
         self.serve();
     }
@@ -191,7 +191,7 @@
 }
 
 fn assert_quarantined(deadly: &Mutex<DeadlyRuns>) {
-    let deadly = deadly.lock().expect("whole");
+    let deadly = deadly.lock().expect("not poisoned");
     let last_counted =
         deadly.crashes.get(QUARANTINE_CRASHES - 1).expect("enough crashes for quarantine");
     let after = deadly.runs.iter().filter(|at| **at > *last_counted + QUARANTINE_DELAY).count();
@@ -237,7 +237,7 @@
         let deadly: Arc<Mutex<DeadlyRuns>> = Arc::default();
         let mut site = start(&deadly).await;
         send_deadly(&site, Method::Put, "/deadly").await;
-        let before = deadly.lock().expect("whole").runs.len();
+        let before = deadly.lock().expect("not poisoned").runs.len();
         assert!(before >= QUARANTINE_CRASHES);
         site.start_entry(2, &SiteOptions::default()).await.expect("an entry");
         site.publish_instances();
@@ -246,7 +246,7 @@
 
         let caller = Caller::new(site.entry_addresses()[2], "northwind", "brittle");
         let answer = caller.send(caller.request(Method::Put, "/deadly")).await.expect("an answer");
-        assert_eq!((answer.status, deadly.lock().expect("whole").runs.len()), (503, before));
+        assert_eq!((answer.status, deadly.lock().expect("not poisoned").runs.len()), (503, before));
         site.stop().await;
     });
 }
