--- a/grebedeck-admission/src/fair.rs
+++ b/grebedeck-admission/src/fair.rs
@@ -114,7 +114,7 @@
         queue.waiting.insert((start_by, ticket), tokens);
     }
 
-    /// Removes a request. Its tokens are deducted if `is_granted`, that is, if it got a place.
+    /// Removes a request. Its tokens are deducted if `is_granted`, that is, if it got a slot.
     pub fn remove(
         &mut self,
         ticket: Ticket,
--- a/grebedeck-admission/src/grant_rate.rs
+++ b/grebedeck-admission/src/grant_rate.rs
@@ -1,4 +1,4 @@
-//! Rate at which places are granted to waiting requests.
+//! Rate at which slots are granted to waiting requests.
 //!
 //! The queue estimates waiting times from this rate under overload. Only time during which requests
 //! waited counts: without a backlog, the grants reflect the demand and not the capacity.
@@ -15,13 +15,13 @@
 /// of a model's rank group changes within seconds.
 const DECAY_TIME: Duration = Duration::from_secs(2);
 /// Backlogged time required for an estimate: several forward passes of a rank group, each of which
-/// frees places.
+/// frees slots.
 const MIN_BACKLOGGED: Duration = Duration::from_millis(200);
 /// Grants required for an estimate: where requests take seconds, a short observation is not
 /// conclusive.
 const MIN_GRANTS: f64 = 3.0;
 
-/// Decayed counts of granted places by urgency, and of the time with a backlog.
+/// Decayed counts of granted slots by urgency, and of the time with a backlog.
 #[derive(Clone, Debug, Default)]
 pub struct GrantRate {
     grants: BTreeMap<Urgency, f64>,
@@ -48,7 +48,7 @@
         self.grants.retain(|_, grants| *grants > 1e-3);
     }
 
-    /// Records a place granted to a request that had waited.
+    /// Records a slot granted to a request that had waited.
     pub fn record_grant(&mut self, urgency: Urgency) {
         *self.grants.entry(urgency).or_default() += 1.0;
     }
--- a/grebedeck-admission/src/lib.rs
+++ b/grebedeck-admission/src/lib.rs
@@ -1,11 +1,11 @@
-//! Admission control for the requests of one gateway: which waiting request gets the next place on
+//! Admission control for the requests of one gateway: which waiting request gets the next slot on
 //! a service's targets, and when a refused caller should retry.
 //!
-//! A place is the right to run one request on a target. Each gateway decides for its own callers.
+//! A slot is the right to run one request on a target. Each gateway decides for its own callers.
 //! [`queue`] orders the waiting requests by urgency, with a guaranteed [`share`] for the less
 //! urgent ones; within an urgency, [`fair`] alternates between organisations; within an
 //! organisation, the earliest start deadline that can still be met comes first. [`grant_rate`]
-//! measures the rate at which places are granted, from which the queue estimates waiting times.
+//! measures the rate at which slots are granted, from which the queue estimates waiting times.
 //! [`retry`] spreads the retries of refused callers over the expected capacity.
 //!
 //! The logic does no I/O: time and randomness are passed in. Its state may be lost with the
--- a/grebedeck-admission/src/queue.rs
+++ b/grebedeck-admission/src/queue.rs
@@ -1,6 +1,6 @@
-//! Queue of the requests that wait for a place on one service's targets.
+//! Queue of the requests that wait for a slot on one service's targets.
 //!
-//! Under overload the queue decides which request gets the next free place. Streams that resume
+//! Under overload the queue decides which request gets the next free slot. Streams that resume
 //! after the loss of their target come first, as their callers already have part of the response.
 //! The other requests are ordered by urgency, except that an urgency below its
 //! [share](crate::share) comes first. Within an urgency, organisations [take turns](crate::fair).
@@ -35,7 +35,7 @@
 /// Upper bound of the estimated wait, longer than any request waits.
 const MAX_EXPECTED_WAIT: Duration = Duration::from_secs(60);
 
-/// Order in which places are granted.
+/// Order in which slots are granted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Order {
     /// First in, first out.
@@ -48,7 +48,7 @@
 /// Settings of a queue.
 #[derive(Clone, Copy, Debug)]
 pub struct QueueOptions {
-    /// Order in which places are granted.
+    /// Order in which slots are granted.
     pub order: Order,
     /// Tokens per turn of an organisation: those of a typical request, so that a turn serves one or
     /// a few requests.
@@ -95,7 +95,7 @@
     item: T,
 }
 
-/// Requests that wait for a place on one service's targets.
+/// Requests that wait for a slot on one service's targets.
 #[derive(Debug)]
 pub struct Queue<T> {
     options: QueueOptions,
@@ -131,7 +131,7 @@
         self.entries.is_empty()
     }
 
-    /// Returns the order in which places are granted.
+    /// Returns the order in which slots are granted.
     pub fn order(&self) -> Order {
         self.options.order
     }
@@ -182,7 +182,7 @@
         Ok(ticket)
     }
 
-    /// Records a request that got a place without waiting.
+    /// Records a request that got a slot without waiting.
     pub fn record_immediate(&mut self, urgency: Urgency, now: Moment) {
         self.shares.record_arrival(urgency, now);
         self.shares.record_served(urgency, now);
@@ -193,14 +193,14 @@
         self.shares.record_arrival(urgency, now);
     }
 
-    /// Returns the request that gets the next place.
+    /// Returns the request that gets the next slot.
     pub fn peek(&mut self, now: Moment) -> Option<(Ticket, &T)> {
         let ticket = self.next(now)?;
 
         self.entries.get(&ticket).map(|entry| (ticket, &entry.item))
     }
 
-    /// Removes the request that gets the next place, and records the grant.
+    /// Removes the request that gets the next slot, and records the grant.
     pub fn pop(&mut self, now: Moment) -> Option<(Waiter, T)> {
         let ticket = self.next(now)?;
         self.advance(now);
@@ -211,7 +211,7 @@
         Some((entry.waiter, entry.item))
     }
 
-    /// Removes a request that gets no place.
+    /// Removes a request that gets no slot.
     pub fn remove(&mut self, ticket: Ticket, now: Moment) -> Option<(Waiter, T)> {
         self.advance(now);
 
@@ -313,7 +313,7 @@
         (*class > Class::Regular(urgency)).then(|| fair.newest())?
     }
 
-    /// Returns the recent rate of places granted to waiting requests; `None` if unknown.
+    /// Returns the recent rate of slots granted to waiting requests; `None` if unknown.
     pub fn grants_per_s(&self) -> Option<f64> {
         self.grant_rate.grants_per_s()
     }
@@ -325,7 +325,7 @@
         }
 
         let before: usize = self.classes.range(..class).map(|(_, fair)| fair.len()).sum();
-        // Less urgent requests, if any wait, take their share of the places in the meantime.
+        // Less urgent requests, if any wait, take their share of the slots in the meantime.
         let has_behind = self.classes.last_key_value().is_some_and(|(last, _)| *last > class);
         let fraction_behind = self.grant_rate.fraction_behind(urgency).min(MIN_SHARE);
         let fraction = if has_behind { 1.0 - fraction_behind } else { 1.0 };
--- a/grebedeck-admission/src/share.rs
+++ b/grebedeck-admission/src/share.rs
@@ -54,7 +54,7 @@
         self.counts.entry(urgency).or_default().requested += 1.0;
     }
 
-    /// Records that a request got a place.
+    /// Records that a request got a slot.
     pub fn record_served(&mut self, urgency: Urgency, now: Moment) {
         self.decay(now);
         self.counts.entry(urgency).or_default().served += 1.0;
--- a/grebedeck-admission/tests/load.rs
+++ b/grebedeck-admission/tests/load.rs
@@ -1,6 +1,6 @@
 //! Simulated overload, without a network: which requests are served in time.
 //!
-//! The targets have a fixed number of places, and each request occupies one for a random time.
+//! The targets have a fixed number of slots, and each request occupies one for a random time.
 //! Requests leave the queue when they can no longer start in time, and are retried once after a
 //! refusal. Where a test compares orders, the same load is run with the order of arrival.
 
@@ -15,13 +15,13 @@
 use grebedeck_core::{Moment, RandomSource};
 
 const MS: fn(u64) -> Duration = Duration::from_millis;
-const PLACES: usize = 100;
+const SLOTS: usize = 100;
 /// Mean service time of a request.
 const MEAN_SERVICE_MS: f64 = 400.0;
-/// Requests that complete per second with all places occupied.
-const CAPACITY_PER_S: f64 = PLACES as f64 * 1000.0 / MEAN_SERVICE_MS;
+/// Requests that complete per second with all slots occupied.
+const CAPACITY_PER_S: f64 = SLOTS as f64 * 1000.0 / MEAN_SERVICE_MS;
 const ARRIVALS_MS: u64 = 20_000;
-/// Time from the grant of a place to the first event.
+/// Time from the grant of a slot to the first event.
 const TIME_TO_FIRST_EVENT: Duration = Duration::from_millis(100);
 
 /// A kind of request.
@@ -48,7 +48,7 @@
     large_fraction: f64,
     /// Fraction of the requests that are retried at once after a refusal, up to four times.
     immediate_retriers: f64,
-    /// Start and duration of an outage of all places.
+    /// Start and duration of an outage of all slots.
     outage_ms: Option<(u64, u64)>,
     /// How long requests stay queued beyond their start deadline.
     hold_ms: u64,
@@ -99,7 +99,7 @@
     organisations: BTreeMap<usize, Tally>,
     immediate_retriers: Tally,
     others: Tally,
-    /// Sum over all milliseconds of the places that were free while requests waited.
+    /// Sum over all milliseconds of the slots that were free while requests waited.
     idle_ms: usize,
     most_waiting: usize,
     left_waiting: usize,
@@ -189,14 +189,14 @@
             self.end_times.pop();
         }
 
-        self.grant_places(now);
+        self.grant_slots(now);
 
         while let Some(entry) = self.arrivals.first_entry().filter(|e| e.key().0 <= now) {
             let call = entry.remove();
             self.admit(call, now);
         }
 
-        self.grant_places(now);
+        self.grant_slots(now);
 
         for (_, waiter, call) in self.queue.remove_expired(now) {
             self.refuse(call, waiter.urgency, now);
@@ -205,12 +205,12 @@
         self.outcome.most_waiting = self.outcome.most_waiting.max(self.queue.len());
 
         if !self.queue.is_empty() && !self.is_outage(now) {
-            self.outcome.idle_ms += PLACES - self.end_times.len();
+            self.outcome.idle_ms += SLOTS - self.end_times.len();
         }
     }
 
-    fn grant_places(&mut self, now: Moment) {
-        while self.end_times.len() < PLACES && !self.is_outage(now) {
+    fn grant_slots(&mut self, now: Moment) {
+        while self.end_times.len() < SLOTS && !self.is_outage(now) {
             let Some((_, call)) = self.queue.pop(now) else { return };
             self.serve(call, now);
         }
@@ -252,7 +252,7 @@
             is_resumed: false,
         };
 
-        if self.queue.is_empty() && self.end_times.len() < PLACES && !self.is_outage(now) {
+        if self.queue.is_empty() && self.end_times.len() < SLOTS && !self.is_outage(now) {
             self.queue.record_immediate(kind.urgency, now);
             return self.serve(call, now);
         }
@@ -290,7 +290,7 @@
 
         let time_left = (call.first_try + MS(8000)).saturating_sub(now);
         let rate_per_s = self.queue.grants_per_s().unwrap_or(CAPACITY_PER_S);
-        let expected = ExpectedCapacity { first_place_in: MS(50), rate_per_s, time_left };
+        let expected = ExpectedCapacity { first_slot_in: MS(50), rate_per_s, time_left };
         let wait = self.retry_slots.retry_after(urgency, expected, now, &mut self.random);
         let wait = if call.retries_at_once { MS(5) } else { wait };
         self.arrive(Call { tries: call.tries + 1, ..call }, now + wait);
@@ -314,7 +314,7 @@
     assert!(after[0] > before[0] + 0.2, "{before:?} {after:?}");
     assert!(after[1] > 0.35 && after[2] > 0.25, "{after:?}");
     assert!(after[0] > after[1] && after[1] > after[2], "{after:?}");
-    assert_eq!(by_urgency.idle_ms, 0, "no place is free while requests wait");
+    assert_eq!(by_urgency.idle_ms, 0, "no slot is free while requests wait");
     assert_eq!(by_urgency.left_waiting, 0);
 
     // The order by urgency serves about as many requests in time overall.
@@ -390,7 +390,7 @@
 /// After an outage of 1.8 s with hundreds of waiting requests, each of them has been served or
 /// refused, and service continues.
 #[test]
-fn no_request_hangs_after_an_outage_of_all_places() {
+fn no_request_hangs_after_an_outage_of_all_slots() {
     let outage =
         Load { outage_ms: Some((8000, 1800)), hold_ms: 1500, ..Load::new(Order::Urgency, 1.3) };
     let out = simulate(outage);
--- a/grebedeck-admission/tests/order.rs
+++ b/grebedeck-admission/tests/order.rs
@@ -227,9 +227,9 @@
         queue.push(waiter(0, "a", 5000), item, MS(0)).expect("queue not full");
     }
 
-    assert_eq!(queue.expected_wait(&waiter(0, "a", 400)), None, "no place was granted yet");
+    assert_eq!(queue.expected_wait(&waiter(0, "a", 400)), None, "no slot was granted yet");
 
-    // 20 places per second.
+    // 20 slots per second.
     for step in 1..=20 {
         queue.pop(MS(step * 50)).expect("a request waits");
     }
--- a/grebedeck-admission/tests/retry.rs
+++ b/grebedeck-admission/tests/retry.rs
@@ -8,7 +8,7 @@
 const MS: fn(u64) -> Duration = Duration::from_millis;
 
 fn expected_capacity() -> ExpectedCapacity {
-    ExpectedCapacity { first_place_in: MS(100), rate_per_s: 50.0, time_left: MS(6000) }
+    ExpectedCapacity { first_slot_in: MS(100), rate_per_s: 50.0, time_left: MS(6000) }
 }
 
 /// Callers refused at the same time are told to retry one after another, at the grant rate.
@@ -50,8 +50,8 @@
     assert!(urgent < MS(550), "less urgent callers do not delay it: {urgent:?}");
 }
 
-/// The retry delay is at most a third of the remaining time. Callers without a slot are spread over
-/// the second half of that.
+/// The retry delay is at most a third of the remaining time. Callers without a retry slot are
+/// spread over the second half of that.
 #[test]
 fn retry_delay_is_bounded() {
     let (mut retry_slots, mut random) = (RetrySlots::default(), SeededSource::new(3));
@@ -64,7 +64,7 @@
     let early = last.iter().filter(|wait| ***wait < MS(1500)).count();
     assert!((60..140).contains(&early), "{early} of 200 in the first half of the spread");
 
-    // Slots in the past no longer delay anyone.
+    // Retry slots in the past no longer delay anyone.
     let later = retry_slots.retry_after((1, 1), expected_capacity(), MS(9000), &mut random);
     assert!(later < MS(130), "{later:?}");
 }
--- a/grebedeck/src/gateway/wait_queues.rs
+++ b/grebedeck/src/gateway/wait_queues.rs
@@ -129,8 +129,7 @@
         let delay = |state: &mut QueueState| {
             let rate_per_s =
                 state.queue.grants_per_s().filter(|_| state.queue.order() == Order::Urgency)?;
-            let expected =
-                ExpectedCapacity { first_place_in: first_slot_in, rate_per_s, time_left: left };
+            let expected = ExpectedCapacity { first_slot_in, rate_per_s, time_left: left };
 
             Some(state.retry_slots.retry_after(urgency, expected, now, &mut random))
         };
