--- a/grebedeck-config/src/lib.rs
+++ b/grebedeck-config/src/lib.rs
@@ -6,6 +6,7 @@
 //! the log to its [`Replica`], whose revision never decreases. The [`Acceptor`] decides how a
 //! change is written to the platform's table service, including when the response to a write is
 //! lost.
+//!
 //! [`Routes`] is the compiled form that serves the request path.
 
 #![forbid(unsafe_code)]
--- a/grebedeck-experts/src/rollout/broadcast.rs
+++ b/grebedeck-experts/src/rollout/broadcast.rs
@@ -1,6 +1,6 @@
 //! How a leader's directives reach the nodes of its group.
 //!
-//! The link of a machine that runs a rank may be as small as 6 Mbit/s, so what a leader sends to
+//! The link of an instance that runs a rank may be as small as 6 Mbit/s, so what a leader sends to
 //! all nodes periodically is short. The roster goes only to nodes that may have to reach all others
 //! and do not know them yet. The changes of a plan are relayed by some nodes, each to a part of the
 //! group, and sent again to nodes that do not confirm them.
--- a/grebedeck-experts/src/rollout/changeover.rs
+++ b/grebedeck-experts/src/rollout/changeover.rs
@@ -31,8 +31,8 @@
     phase_since: Moment,
     answered: BTreeSet<Rank>,
     reports: BTreeMap<Rank, RankReport>,
-    /// Other ranks whose engines have accepted an order to arm. Their reports to other machines lag
-    /// by some hundred milliseconds, and the group would stall for as long.
+    /// Other ranks whose engines have accepted an order to arm. Their reports to other instances
+    /// lag by some hundred milliseconds, and the group would stall for as long.
     armed_remotely: BTreeSet<Rank>,
     contacted_at: BTreeMap<Rank, Moment>,
     sent_at: Option<Moment>,
--- a/grebedeck-experts/src/rollout/lead.rs
+++ b/grebedeck-experts/src/rollout/lead.rs
@@ -215,7 +215,7 @@
     }
 
     /// Returns the rank whose engine is to hold a pass. It is not the leader's own if there is
-    /// another, so that neither the leader's machine nor the holder's can stall the group alone.
+    /// another, so that neither the leader's instance nor the holder's can stall the group alone.
     fn holder(&self, own: &RankReport, absent: Option<Rank>) -> Rank {
         let may_hold = |rank: &Rank| *rank != own.rank && Some(*rank) != absent;
 
--- a/grebedeck-experts/src/switch.rs
+++ b/grebedeck-experts/src/switch.rs
@@ -9,7 +9,7 @@
 //! messages, so several coordinators at once, or none, do no harm. Members that hold without an
 //! outcome query each other.
 //!
-//! The ranks of a group run in lock-step, and no step can run without all of them. Waiting for an
+//! The ranks of a group run in lockstep, and no step can run without all of them. Waiting for an
 //! answer of every member therefore costs no more than the step itself would.
 //!
 //! # Replaced members
--- a/grebedeck-gateway/src/feed.rs
+++ b/grebedeck-gateway/src/feed.rs
@@ -3,8 +3,8 @@
 //!
 //! A feed answers as the store does: with the whole state at one version, or with the changes after
 //! a version. Versions are the store's, so a follower can continue from any feed, or from the
-//! store, where it stopped at another. It may receive a change twice that way; the version of the
-//! change tells.
+//! store, where it stopped at another. It may receive a change twice that way, which it
+//! recognises by the change's version.
 
 use std::collections::VecDeque;
 use std::time::Duration;
--- a/grebedeck-gateway/src/memory.rs
+++ b/grebedeck-gateway/src/memory.rs
@@ -1,7 +1,7 @@
 //! Budget for a share of the process's memory, divided among many holders.
 //!
 //! Small holders may use the whole budget. Large holders leave a part of it free, so that a few
-//! large responses that nobody reads do not cause many small ones to be turned away.
+//! large responses that nobody reads do not cause many small ones to be refused.
 
 /// Holding up to which a holder counts as small, in bytes: about what the socket of a caller that
 /// reads takes at once.
--- a/grebedeck-gateway/src/outage.rs
+++ b/grebedeck-gateway/src/outage.rs
@@ -3,7 +3,7 @@
 //! The ranks of a group stop together and form the group again together. Meanwhile each of them
 //! refuses requests although it has free slots, or another start of it answers at its address.
 //! Sending every request to one of them yields no new information, so single probes are sent.
-//! Callers are told when to come back, or are held if the service is expected back soon.
+//! Callers are told when to retry, or are held if the service is expected back soon.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -50,10 +50,10 @@
 /// A group's own report on whether it is open, that is, runs forward passes.
 #[derive(Clone, Copy, Debug)]
 struct GroupReport {
-    /// Number of the newest formation that was reported.
-    formation: u64,
+    /// Latest epoch of the group that was reported.
+    epoch: u64,
     is_open: bool,
-    /// Until when the report is valid and reports of earlier formations are ignored.
+    /// Until when the report is valid and reports of earlier epochs are ignored.
     expires_at: Moment,
 }
 
@@ -74,10 +74,10 @@
         was_out
     }
 
-    /// Records a group's report that it is open; returns whether that ended an outage. `formation`
+    /// Records a group's report that it is open; returns whether that ended an outage. `epoch`
     /// counts how often the group has formed.
-    pub fn record_open(&mut self, group: GroupId, formation: u64, now: Moment) -> bool {
-        self.store_report(group, formation, true, now) && self.is_out() && self.record_success(now)
+    pub fn record_open(&mut self, group: GroupId, epoch: u64, now: Moment) -> bool {
+        self.store_report(group, epoch, true, now) && self.is_out() && self.record_success(now)
     }
 
     /// Records a failed request to a target with free slots; returns whether that started an
@@ -101,10 +101,10 @@
     }
 
     /// Records a group's report that it is closed; returns whether that started an outage, as no
-    /// other group is open. A report of an older formation comes from a rank that has not yet
+    /// other group is open. A report of an older epoch comes from a rank that has not yet
     /// noticed the newest one, and does not count.
-    pub fn record_closed(&mut self, group: GroupId, formation: u64, now: Moment) -> bool {
-        if !self.store_report(group, formation, false, now) || self.has_reporting_group(true, now) {
+    pub fn record_closed(&mut self, group: GroupId, epoch: u64, now: Moment) -> bool {
+        if !self.store_report(group, epoch, false, now) || self.has_reporting_group(true, now) {
             return false;
         }
 
@@ -159,17 +159,17 @@
         is_due
     }
 
-    /// Stores a group's report; returns whether it counts. A report of an older formation does not,
+    /// Stores a group's report; returns whether it counts. A report of an older epoch does not,
     /// unless the report of the newer one has expired: the group may then have begun to count anew.
-    fn store_report(&mut self, group: GroupId, formation: u64, is_open: bool, now: Moment) -> bool {
+    fn store_report(&mut self, group: GroupId, epoch: u64, is_open: bool, now: Moment) -> bool {
         let before = self.groups.get(&group);
 
-        if before.is_some_and(|report| formation < report.formation && now < report.expires_at) {
+        if before.is_some_and(|report| epoch < report.epoch && now < report.expires_at) {
             return false;
         }
 
         let expires_at = now + self.options.report_lifetime;
-        self.groups.insert(group, GroupReport { formation, is_open, expires_at });
+        self.groups.insert(group, GroupReport { epoch, is_open, expires_at });
         true
     }
 
--- a/grebedeck-gateway/src/refusals.rs
+++ b/grebedeck-gateway/src/refusals.rs
@@ -1,6 +1,6 @@
 //! Targets that refuse requests, and when requests are sent to them again.
 //!
-//! The case to handle: some of a service's targets turn everything away for seconds while the
+//! The case to handle: some of a service's targets refuse all requests for seconds while the
 //! others have free slots. A refusing target is idle, so by its load it looks like the best choice.
 //! With five of sixteen targets refusing, those five got 63 of 100 requests. Callers have two
 //! tries, which often met two refusing targets, so they were refused although eleven targets had
--- a/grebedeck/src/agent/group.rs
+++ b/grebedeck/src/agent/group.rs
@@ -1,6 +1,6 @@
 //! The agent's part in its group: the service that the rest of the process sees. Messages and
 //! counts of other members arrive here, and peers read maps. The task that handles them is in
-//! [`driver`](super::driver).
+//! the module `driver`.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
--- a/grebedeck/src/config/service.rs
+++ b/grebedeck/src/config/service.rs
@@ -32,14 +32,14 @@
     in_force_unix_ms: AtomicU64,
     changed: async_channel::Sender<Revision>,
     on_change: async_channel::Receiver<Revision>,
-    adoptions: Counter,
+    offers: Counter,
 }
 
 impl ConfigService {
     /// Creates the service without a configuration.
     pub fn new(clock: Clock, metrics: &Metrics) -> Self {
         let (changed, on_change) = async_channel::bounded(1);
-        let adoptions = metrics.counter(
+        let offers = metrics.counter(
             "grebedeck_config_offers",
             "end",
             "Configurations offered by the store or by peers, by what became of them",
@@ -54,7 +54,7 @@
             in_force_unix_ms: AtomicU64::new(0),
             changed,
             on_change,
-            adoptions,
+            offers,
         }
     }
 
@@ -76,7 +76,7 @@
     /// Applies what the store or a peer offers; a newer revision is in force when this returns.
     pub fn apply(&self, offer: CatchUp) -> ApplyResult {
         let mut replica = self.lock();
-        let adoption = replica.apply_each(offer, |replica, change| {
+        let result = replica.apply_each(offer, |replica, change| {
             let (revision, document) = (replica.revision(), replica.document());
             let routes = match change {
                 Some(change) => self.routes().after_change(revision, document, change),
@@ -85,14 +85,14 @@
 
             self.put_in_force(replica, routes);
         });
-        self.adoptions.add(adoption_label(adoption));
+        self.offers.add(result_label(result));
 
-        if adoption == ApplyResult::Applied {
+        if result == ApplyResult::Applied {
             log::info!("configuration in force", kv: { revision = replica.revision() });
             let _ = self.changed.try_send(replica.revision());
         }
 
-        adoption
+        result
     }
 
     /// Channel that receives a message for each new revision; unread messages are coalesced.
@@ -172,8 +172,8 @@
     }
 }
 
-fn adoption_label(adoption: ApplyResult) -> &'static str {
-    match adoption {
+fn result_label(result: ApplyResult) -> &'static str {
+    match result {
         ApplyResult::Applied => "adopted",
         ApplyResult::Stale => "stale",
         ApplyResult::Gap => "gap",
--- a/grebedeck/src/config/store.rs
+++ b/grebedeck/src/config/store.rs
@@ -73,7 +73,7 @@
             match self.service.apply(CatchUp::Entries(entries)) {
                 // Stale entries mean that a peer has delivered them in the meantime.
                 ApplyResult::Applied | ApplyResult::Stale => {}
-                adoption => return protocol_error(format!("invalid store log: {adoption:?}")),
+                result => return protocol_error(format!("invalid store log: {result:?}")),
             }
 
             own = self.service.revision();
--- a/grebedeck/src/entry/answer.rs
+++ b/grebedeck/src/entry/answer.rs
@@ -115,13 +115,14 @@
         }
     }
 
-    /// Reads the next frame; fails if the agent falls silent meanwhile.
+    /// Reads the next frame; fails if the agent becomes unresponsive meanwhile.
     async fn next_frame(&mut self) -> Result<FromAgent> {
         let reading = self.reader.next_required();
-        let silent = self.in_flight.entry().directory.wait_until_unresponsive(self.agent_address);
-        futures::pin_mut!(reading, silent);
+        let unresponsive =
+            self.in_flight.entry().directory.wait_until_unresponsive(self.agent_address);
+        futures::pin_mut!(reading, unresponsive);
 
-        match futures::future::select(reading, silent).await {
+        match futures::future::select(reading, unresponsive).await {
             Either::Left((frame, _)) => frame,
             Either::Right(_) => timeout_error("the agent's next frame"),
         }
--- a/grebedeck/src/gateway/health.rs
+++ b/grebedeck/src/gateway/health.rs
@@ -106,7 +106,7 @@
         let now = self.now();
         let service = target.service.as_str();
 
-        if self.with_outage(service, |outage| outage.record_open(load.group, load.formation, now)) {
+        if self.with_outage(service, |outage| outage.record_open(load.group, load.epoch, now)) {
             log::info!("group open", kv: { service, target = target.id.as_str() });
             self.refusals.borrow_mut().record_recovery(service, now);
             self.slot_freed.notify(usize::MAX);
@@ -117,7 +117,7 @@
     fn record_group_closed(&self, service: &str, load: &RankLoad) -> bool {
         let now = self.now();
 
-        self.with_outage(service, |outage| outage.record_closed(load.group, load.formation, now))
+        self.with_outage(service, |outage| outage.record_closed(load.group, load.epoch, now))
     }
 
     /// Returns whether the current report of a target's group is that it is closed.
--- a/grebedeck/src/rank/driver.rs
+++ b/grebedeck/src/rank/driver.rs
@@ -314,10 +314,10 @@
             // Addressed to gateways, or handled above as a datagram of another group.
             Body::Load(_) | Body::Suspects(_) | Body::Elsewhere | Body::Quota(_) => {}
             Body::Counts(report) => {
-                let is_same_formation = self.node.report().is_some_and(|r| r.epoch == report.epoch);
-                // Counts of an earlier start of an engine do not continue in the next one.
+                let is_same_epoch = self.node.report().is_some_and(|r| r.epoch == report.epoch);
+                // Each start of an engine counts anew, so counts of an earlier one are ignored.
                 let is_current =
-                    is_same_formation && !self.node.is_of_other_start(report.rank, report.born_ms);
+                    is_same_epoch && !self.node.is_of_other_start(report.rank, report.born_ms);
 
                 if is_current && self.node.is_leading() {
                     self.balance.record_counts(&report);
@@ -413,7 +413,7 @@
             group: report.group,
             running: report.running,
             waiting: report.waiting,
-            formation: report.epoch,
+            epoch: report.epoch,
             is_open: report.is_open,
             slowdown: report.pace,
             born_ms: report.born_ms,
--- a/grebedeck/src/rank/message.rs
+++ b/grebedeck/src/rank/message.rs
@@ -59,7 +59,8 @@
     /// Number of waiting requests.
     pub waiting: u32,
     /// Epoch of the group, which increases each time that the group forms.
-    pub formation: u64,
+    #[serde(rename = "formation")]
+    pub epoch: u64,
     /// Whether the group makes passes.
     pub is_open: bool,
     /// Duration of the engine's work relative to its usual duration.
--- a/grebedeck/tests/datagrams.rs
+++ b/grebedeck/tests/datagrams.rs
@@ -30,7 +30,7 @@
         group: 7,
         running: 3,
         waiting: 1,
-        formation: 2,
+        epoch: 2,
         is_open: true,
         slowdown: 1.5,
         born_ms: None,
@@ -57,7 +57,7 @@
     #[test]
     fn a_truncated_datagram_is_dropped(cut in 1..20usize) {
         let load = RankLoad {
-            group: 7, running: 3, waiting: 1, formation: 2, is_open: true, slowdown: 1.5,
+            group: 7, running: 3, waiting: 1, epoch: 2, is_open: true, slowdown: 1.5,
             born_ms: Some(5),
         };
         let sent = Datagram { body: Body::Load(load), ..datagram(Some(7)) };
--- a/grebedeck/tests/withdrawn.rs
+++ b/grebedeck/tests/withdrawn.rs
@@ -62,12 +62,12 @@
     let request = request(&gateway);
     let chosen = Arc::new(entry.clone());
     let in_flight = InFlight::new(&gateway, &chosen);
-    let place = Slot { in_flight, target: chosen, permit: Permit::NotNeeded };
+    let slot = Slot { in_flight, target: chosen, permit: Permit::NotNeeded };
     let mut tried = AttemptHistory::default();
     tried.record_start(&entry);
     change(&gateway, &entry);
 
-    let opened = async_std::task::block_on(open(&gateway, &request, place));
+    let opened = async_std::task::block_on(open(&gateway, &request, slot));
     let failure = opened.err().expect("a failure");
     assert_eq!(failure.run, RunState::NotRun);
     assert!(
