--- a/grebedeck/src/rank/retry_after.rs
+++ b/grebedeck/src/rank/retry_after.rs
@@ -16,7 +16,7 @@
 use grebedeck_kernel::log::LineRateLimiter;
 use grebedeck_kernel::{Clock, log};
 
-/// Number of remembered delays from which on expired ones are removed: more than a group has ranks.
+/// Number of remembered delays at which expired ones are removed: more than a group has ranks.
 const EVICTION_THRESHOLD: usize = 1024;
 
 /// Maximum rate of log lines: an engine that requests very short delays may do so fifty times a
