--- a/grebedeck-lab/src/command/switch.rs
+++ b/grebedeck-lab/src/command/switch.rs
@@ -28,7 +28,7 @@
     /// Seed of the first run
     #[bpaf(long, argument("SEED"), fallback(1))]
     pub seed: u64,
-    /// Part of the protocol to break on purpose: none, commit, join or hold
+    /// Fault to inject into the protocol: none, commit, join or hold
     #[bpaf(long("break"), argument("WHAT"), fallback("none".to_string()))]
     pub broken: String,
     /// Print JSON
@@ -37,7 +37,7 @@
 
 /// Makes the runs and prints a summary.
 ///
-/// A violation is an error unless the protocol was broken on purpose.
+/// A violation is an error unless a fault was injected.
 pub fn run(options: &SwitchOptions) -> Result<()> {
     let bounds = Bounds {
         members: options.members,
@@ -45,7 +45,7 @@
         replacements: options.replacements,
         proposals: 12,
         start_arming: false,
-        fault: parse_broken(&options.broken)?,
+        fault: parse_fault(&options.broken)?,
     };
     let start = Instant::now();
     let (mut commits, mut violations, mut first_seed) = (0, 0, None);
@@ -81,7 +81,7 @@
     Ok(())
 }
 
-fn parse_broken(text: &str) -> Result<ProtocolFault> {
+fn parse_fault(text: &str) -> Result<ProtocolFault> {
     match text {
         "none" => Ok(ProtocolFault::None),
         "commit" => Ok(ProtocolFault::CommitWithoutAll),
