--- a/grebedeck-lab/src/model.rs
+++ b/grebedeck-lab/src/model.rs
@@ -21,7 +21,7 @@
 
 /// Size and speed of a group.
 #[derive(Clone, Debug)]
-pub struct ModelOptions {
+pub struct GroupOptions {
     /// Number of ranks.
     pub ranks: Rank,
     /// Experts per layer.
@@ -40,9 +40,9 @@
     pub shift_every: Duration,
 }
 
-impl Default for ModelOptions {
+impl Default for GroupOptions {
     fn default() -> Self {
-        ModelOptions {
+        GroupOptions {
             ranks: 4,
             experts: 16,
             layers: 2,
@@ -82,10 +82,10 @@
     skew_steps: u64,
 }
 
-/// Group of ranks.
+/// Stand-in for a lock-step group.
 #[derive(Clone)]
-pub struct Model {
-    options: ModelOptions,
+pub struct ModelGroup {
+    options: GroupOptions,
     state: Arc<Mutex<GroupState>>,
 }
 
@@ -106,9 +106,9 @@
 /// Poll interval while a rank is held. [`GroupStats::held_ms`] counts these polls.
 const HELD_POLL_INTERVAL: Duration = Duration::from_millis(1);
 
-impl Model {
+impl ModelGroup {
     /// Creates a group and starts its task.
-    pub fn start(options: ModelOptions, seed: u64) -> Model {
+    pub fn start(options: GroupOptions, seed: u64) -> ModelGroup {
         let first_map = ExpertMap::spread(
             options.ranks,
             options.experts,
@@ -130,19 +130,19 @@
             skew_sum: 0.0,
             skew_steps: 0,
         };
-        let model = Model { options, state: Arc::new(Mutex::new(state)) };
-        async_std::task::spawn(model.clone().run(SeededSource::new(seed)));
+        let group = ModelGroup { options, state: Arc::new(Mutex::new(state)) };
+        async_std::task::spawn(group.clone().run(SeededSource::new(seed)));
 
-        model
+        group
     }
 
     /// Starts the HTTP server of one rank, for requests and engine orders.
     pub async fn serve(&self, rank: Rank) -> io::Result<Server> {
-        let model = self.clone();
+        let group = self.clone();
 
         Server::start(any_port(), move |request| {
-            let model = model.clone();
-            async move { model.answer(rank, request).await }
+            let group = group.clone();
+            async move { group.answer(rank, request).await }
         })
         .await
     }
@@ -285,7 +285,7 @@
     fn run_step(
         &mut self,
         map: &str,
-        options: &ModelOptions,
+        options: &GroupOptions,
         random: &mut SeededSource,
     ) -> Duration {
         let costs: Vec<f32> = self.ranks.iter().map(|r| r.slowdown).collect();
@@ -311,7 +311,7 @@
     fn draw_counts(
         &mut self,
         layer: usize,
-        options: &ModelOptions,
+        options: &GroupOptions,
         random: &mut SeededSource,
     ) -> Vec<f32> {
         let ranks = self.ranks.len() as f32;
--- a/grebedeck-lab/src/site.rs
+++ b/grebedeck-lab/src/site.rs
@@ -13,7 +13,7 @@
 use serde_json::json;
 
 use crate::http::{Server, any_port};
-use crate::model::{Model, ModelOptions};
+use crate::model::{GroupOptions, ModelGroup};
 use crate::plain::PlainService;
 use crate::platform::Platform;
 
@@ -33,7 +33,7 @@
     /// Number of plain targets.
     pub plain_targets: usize,
     /// Size and speed of each group.
-    pub model: ModelOptions,
+    pub group: GroupOptions,
     /// Seed of the groups' stand-ins.
     pub seed: u64,
     /// Maximum time until a revision is in force in all processes.
@@ -48,7 +48,7 @@
             entries: 2,
             groups: 2,
             plain_targets: 3,
-            model: ModelOptions::default(),
+            group: GroupOptions::default(),
             seed: 1,
             spread_limit: Duration::from_secs(2),
         }
@@ -64,7 +64,7 @@
     /// Agents by target.
     pub agents: BTreeMap<String, Agent>,
     /// Stand-ins for the groups.
-    pub models: Vec<Model>,
+    pub model_groups: Vec<ModelGroup>,
     /// Stand-ins for the plain targets, by target.
     pub plain_services: BTreeMap<String, PlainService>,
     /// HTTP servers of the stand-ins by target; that of the platform is `platform`.
@@ -87,7 +87,7 @@
             platform,
             entries: Vec::new(),
             agents: BTreeMap::new(),
-            models: Vec::new(),
+            model_groups: Vec::new(),
             plain_services: BTreeMap::new(),
             servers: BTreeMap::from([("platform".to_string(), server)]),
             platform_address,
@@ -121,13 +121,13 @@
         change: &mut Change,
     ) -> Result<()> {
         let group_name = format!("summary-{group}");
-        let model = Model::start(options.model.clone(), options.seed + group as u64);
+        let model_group = ModelGroup::start(options.group.clone(), options.seed + group as u64);
         let labels = BTreeMap::from([("service".to_string(), "summary".to_string())]);
         change.groups.insert(group_name.clone(), Some(Group { labels }));
 
-        for rank in 0..options.model.ranks {
+        for rank in 0..options.group.ranks {
             let name = format!("{group_name}-rank-{rank}");
-            let server = model.serve(rank).await?;
+            let server = model_group.serve(rank).await?;
             let hall = HALLS[group % HALLS.len()];
             let target = self.start_agent(&name, hall, server.address, true).await?;
             let target = Target { group: Some(group_name.clone()), ranks: vec![rank], ..target };
@@ -135,7 +135,7 @@
             self.servers.insert(name, server);
         }
 
-        self.models.push(model);
+        self.model_groups.push(model_group);
         Ok(())
     }
 
--- a/grebedeck-lab/tests/crashes.rs
+++ b/grebedeck-lab/tests/crashes.rs
@@ -1,4 +1,5 @@
-//! Quarantine of a request that crashes every target that runs it, with entries and agents.
+//! Quarantine of a poison request, which crashes every target that runs it, with entries and
+//! agents.
 //!
 //! Guards against a crash of one target after the other: an entry retried the request at the next
 //! agent, whose target crashed too, and a further attempt of the caller began anew at another
@@ -17,41 +18,41 @@
 
 /// Time that a crashed target is down.
 const DOWNTIME: Duration = Duration::from_millis(600);
-/// Time from the start of the deadly request to the crash of its target.
+/// Time from the start of the poison request to the crash of its target.
 const CRASH_DELAY: Duration = Duration::from_millis(30);
 /// Number of crashes after which a request is quarantined.
-const QUARANTINE_CRASHES: usize = 3;
-/// Time after the last of these crashes, after which the number of runs is limited.
-const QUARANTINE_DELAY: Duration = Duration::from_millis(250);
+const POISON_CRASHES: usize = 3;
+/// Time after the last of these crashes from which the number of runs is limited.
+const NOTIFY_TIME: Duration = Duration::from_millis(250);
 /// Maximum number of runs after that time.
 const MAX_RUNS_AFTER: usize = 3;
-/// Number of times that the caller sends the deadly request.
-const SENDS: usize = 24;
+/// Number of times that the caller sends the poison request.
+const POISON_REQUESTS: usize = 24;
 /// Pause before each of them.
-const PAUSE: Duration = Duration::from_millis(150);
+const POISON_PAUSE: Duration = Duration::from_millis(150);
 
-/// Times of the runs of the deadly request and of the crashes that it caused.
+/// Times of the runs of the poison request and of the crashes that it caused.
 #[derive(Default)]
-struct DeadlyRuns {
-    runs: Vec<Instant>,
+struct PoisonRuns {
+    started: Vec<Instant>,
     crashes: Vec<Instant>,
 }
 
-/// Target that crashes on paths that start with `/deadly`.
+/// Target that crashes on poison requests, whose paths start with `/deadly`.
 #[derive(Clone)]
 struct Target {
     address: SocketAddr,
     listener: Arc<Mutex<Option<TcpListener>>>,
     streams: Arc<Mutex<Vec<TcpStream>>>,
-    deadly: Arc<Mutex<DeadlyRuns>>,
+    poison_runs: Arc<Mutex<PoisonRuns>>,
 }
 
 impl Target {
-    fn start(deadly: &Arc<Mutex<DeadlyRuns>>) -> Self {
+    fn start(poison_runs: &Arc<Mutex<PoisonRuns>>) -> Self {
         let listener = TcpListener::bind((own_ip(), 0)).expect("a free port");
         let address = listener.local_addr().expect("its address");
         let (listener, streams) = (Arc::new(Mutex::new(Some(listener))), Arc::default());
-        let target = Target { address, listener, streams, deadly: deadly.clone() };
+        let target = Target { address, listener, streams, poison_runs: poison_runs.clone() };
         target.serve();
 
         target
@@ -64,7 +65,7 @@
 
     fn accept(&self) {
         loop {
-            let accepted = match &*self.listener.lock().expect("whole") {
+            let accepted = match &*self.listener.lock().expect("mutex not poisoned") {
                 Some(listener) => {
                     listener.set_nonblocking(true).expect("a listener");
                     listener.accept()
@@ -77,7 +78,7 @@
             };
             stream.set_nonblocking(false).expect("a stream");
             let other = stream.try_clone().expect("another handle");
-            self.streams.lock().expect("whole").push(other);
+            self.streams.lock().expect("mutex not poisoned").push(other);
             let target = self.clone();
             std::thread::spawn(move || target.answer(stream));
         }
@@ -95,7 +96,7 @@
                 continue;
             }
 
-            self.deadly.lock().expect("whole").runs.push(Instant::now());
+            self.poison_runs.lock().expect("mutex not poisoned").started.push(Instant::now());
 
             if head.contains("/deadly/stream") {
                 let begun = "HTTP/1.1 200 S\r\ntransfer-encoding: chunked\r\n\r\n2\r\nok\r\n";
@@ -104,23 +105,23 @@
             }
 
             std::thread::sleep(CRASH_DELAY);
-            self.deadly.lock().expect("whole").crashes.push(Instant::now());
+            self.poison_runs.lock().expect("mutex not poisoned").crashes.push(Instant::now());
             return self.crash();
         }
     }
 
     fn crash(&self) {
-        if self.listener.lock().expect("whole").take().is_none() {
+        if self.listener.lock().expect("mutex not poisoned").take().is_none() {
             return;
         }
 
-        for stream in self.streams.lock().expect("whole").drain(..) {
+        for stream in self.streams.lock().expect("mutex not poisoned").drain(..) {
             // The peer may have closed the connection already.
             let _ = stream.shutdown(Shutdown::Both);
         }
 
         std::thread::sleep(DOWNTIME);
-        *self.listener.lock().expect("whole") =
+        *self.listener.lock().expect("mutex not poisoned") =
             Some(TcpListener::bind(self.address).expect("its own port"));
         self.serve();
     }
@@ -150,15 +151,15 @@
     String::from_utf8(bytes).ok()
 }
 
-/// Starts a site with a service `brittle`, whose targets crash on deadly requests.
-async fn start(deadly: &Arc<Mutex<DeadlyRuns>>) -> Site {
+/// Starts a site with a service `brittle`, whose targets crash on poison requests.
+async fn start(poison_runs: &Arc<Mutex<PoisonRuns>>) -> Site {
     let options = SiteOptions { groups: 0, plain_targets: 1, ..SiteOptions::default() };
     let mut site = Site::start(&options).await.expect("a site");
     let mut change = Change { id: "brittle".to_string(), ..Change::default() };
 
     for number in 0..8 {
         let name = format!("brittle-{number}");
-        let address = Target::start(deadly).address;
+        let address = Target::start(poison_runs).address;
         let mut target = site.start_agent(&name, "hall-a", address, false).await.expect("an agent");
         target.labels.insert("service".to_string(), "brittle".to_string());
         change.targets.insert(name, Some(target));
@@ -172,13 +173,13 @@
     site
 }
 
-/// Sends the deadly request to the entries in turn and gets the last answer's status and outcome.
-async fn send_deadly(site: &Site, method: Method, path: &str) -> (u16, String) {
+/// Sends the poison request to the entries in turn and gets the last answer's status and outcome.
+async fn send_poison(site: &Site, method: Method, path: &str) -> (u16, String) {
     let entries = site.entry_addresses();
     let mut last = (0, String::new());
 
-    for number in 0..SENDS {
-        async_std::task::sleep(PAUSE).await;
+    for number in 0..POISON_REQUESTS {
+        async_std::task::sleep(POISON_PAUSE).await;
         let caller = Caller::new(entries[number % entries.len()], "northwind", "brittle");
 
         // A truncated stream is an error.
@@ -190,20 +191,24 @@
     last
 }
 
-fn assert_quarantined(deadly: &Mutex<DeadlyRuns>) {
-    let deadly = deadly.lock().expect("whole");
+fn assert_quarantined(poison_runs: &Mutex<PoisonRuns>) {
+    let poison_runs = poison_runs.lock().expect("mutex not poisoned");
     let last_counted =
-        deadly.crashes.get(QUARANTINE_CRASHES - 1).expect("enough crashes for quarantine");
-    let after = deadly.runs.iter().filter(|at| **at > *last_counted + QUARANTINE_DELAY).count();
-
-    assert!(after <= MAX_RUNS_AFTER, "{after} of {} runs after quarantine", deadly.runs.len());
+        poison_runs.crashes.get(POISON_CRASHES - 1).expect("enough crashes for quarantine");
+    let after = poison_runs.started.iter().filter(|at| **at > *last_counted + NOTIFY_TIME).count();
+
+    assert!(
+        after <= MAX_RUNS_AFTER,
+        "{after} of {} runs after quarantine",
+        poison_runs.started.len()
+    );
 }
 
 async fn check_quarantine(method: Method, path: &str) {
-    let deadly: Arc<Mutex<DeadlyRuns>> = Arc::default();
-    let site = start(&deadly).await;
-    let last = send_deadly(&site, method, path).await;
-    assert_quarantined(&deadly);
+    let poison_runs: Arc<Mutex<PoisonRuns>> = Arc::default();
+    let site = start(&poison_runs).await;
+    let last = send_poison(&site, method, path).await;
+    assert_quarantined(&poison_runs);
     assert_eq!(last, (503, "not-run".to_string()));
 
     async_std::task::sleep(DOWNTIME * 2).await;
@@ -234,11 +239,11 @@
 #[test]
 fn a_new_entry_knows_of_the_quarantine() {
     async_std::task::block_on(async {
-        let deadly: Arc<Mutex<DeadlyRuns>> = Arc::default();
-        let mut site = start(&deadly).await;
-        send_deadly(&site, Method::Put, "/deadly").await;
-        let before = deadly.lock().expect("whole").runs.len();
-        assert!(before >= QUARANTINE_CRASHES);
+        let poison_runs: Arc<Mutex<PoisonRuns>> = Arc::default();
+        let mut site = start(&poison_runs).await;
+        send_poison(&site, Method::Put, "/deadly").await;
+        let before = poison_runs.lock().expect("mutex not poisoned").started.len();
+        assert!(before >= POISON_CRASHES);
         site.start_entry(2, &SiteOptions::default()).await.expect("an entry");
         site.publish_instances();
         site.wait_in_force(2).await.expect("in force");
@@ -246,7 +251,10 @@
 
         let caller = Caller::new(site.entry_addresses()[2], "northwind", "brittle");
         let answer = caller.send(caller.request(Method::Put, "/deadly")).await.expect("an answer");
-        assert_eq!((answer.status, deadly.lock().expect("whole").runs.len()), (503, before));
+        assert_eq!(
+            (answer.status, poison_runs.lock().expect("mutex not poisoned").started.len()),
+            (503, before)
+        );
         site.stop().await;
     });
 }
--- a/grebedeck-lab/tests/group.rs
+++ b/grebedeck-lab/tests/group.rs
@@ -4,7 +4,7 @@
 
 use grebedeck_config::Change;
 use grebedeck_lab::caller::Caller;
-use grebedeck_lab::model::ModelOptions;
+use grebedeck_lab::model::GroupOptions;
 use grebedeck_lab::site::{Site, SiteOptions};
 use serde_json::Value;
 
@@ -12,8 +12,8 @@
 const SWITCH_TIMEOUT: Duration = Duration::from_secs(30);
 
 async fn site() -> Site {
-    let model = ModelOptions { shift_every: Duration::from_secs(3), ..ModelOptions::default() };
-    let options = SiteOptions { groups: 1, plain_targets: 1, model, ..SiteOptions::default() };
+    let group = GroupOptions { shift_every: Duration::from_secs(3), ..GroupOptions::default() };
+    let options = SiteOptions { groups: 1, plain_targets: 1, group, ..SiteOptions::default() };
 
     Site::start(&options).await.unwrap()
 }
@@ -90,9 +90,9 @@
         assert!(rosters.iter().all(|r| *r == rosters[0]), "{rosters:?}");
 
         // The task of the stand-in panics if a step would run on two maps, which ends the steps.
-        let steps = site.models[0].take_stats().steps;
+        let steps = site.model_groups[0].take_stats().steps;
         async_std::task::sleep(Duration::from_millis(200)).await;
-        assert!(site.models[0].take_stats().steps > steps);
+        assert!(site.model_groups[0].take_stats().steps > steps);
         site.stop().await;
     });
 }
--- a/grebedeck-lab/tests/path.rs
+++ b/grebedeck-lab/tests/path.rs
@@ -125,7 +125,7 @@
 
         let mut buffer = vec![0; 64];
         assert!(answer.read(&mut buffer).await.unwrap() > 0);
-        let steps_before = site.models[0].take_stats().steps;
+        let steps_before = site.model_groups[0].take_stats().steps;
         let mut rest = String::new();
         answer.response.take_body().read_to_string(&mut rest).await.unwrap();
 
