--- a/grebedeck-admission/src/lib.rs
+++ b/grebedeck-admission/src/lib.rs
@@ -4,7 +4,7 @@
 //! A slot is the right to run one request on a target. Each gateway decides for its own callers.
 //! [`queue`] orders the waiting requests by urgency, with a guaranteed [`share`] for the less
 //! urgent ones; within an urgency, [`fair`] alternates between organisations; within an
-//! organisation, the earliest start deadline that can still be met comes first. [`grant_rate`]
+//! organisation, the earliest start deadline that can still be met comes first. [`grants`]
 //! measures the rate at which slots are granted, from which the queue estimates waiting times.
 //! [`retry`] spreads the retries of refused callers over the expected capacity.
 //!
@@ -14,7 +14,7 @@
 #![forbid(unsafe_code)]
 
 pub mod fair;
-pub mod grant_rate;
+pub mod grants;
 pub mod queue;
 pub mod retry;
 pub mod share;
--- a/grebedeck-admission/src/queue.rs
+++ b/grebedeck-admission/src/queue.rs
@@ -16,7 +16,7 @@
 use grebedeck_core::{Moment, OrganisationName};
 
 use crate::fair::FairQueue;
-use crate::grant_rate::GrantRate;
+use crate::grants::GrantRate;
 use crate::share::{MIN_SHARE, Shares};
 
 /// Id of a waiting request, in the order of arrival.
--- a/grebedeck-gateway/src/lib.rs
+++ b/grebedeck-gateway/src/lib.rs
@@ -11,6 +11,7 @@
 pub mod choice;
 pub mod cold;
 pub mod coordinator;
+pub mod delay;
 pub mod evacuation;
 pub mod events;
 pub mod feed;
@@ -23,19 +24,19 @@
 pub mod refusals;
 pub mod relay;
 pub mod retry;
-pub mod retry_after;
 pub mod routes;
 pub mod site;
 pub mod source;
+pub mod stall;
 pub mod targets;
-pub mod wait_limit;
+pub mod wait;
 pub mod wire;
-pub mod write_timeout;
 
 pub use answer::{RunState, Verdict, judge};
 pub use choice::chooser_options;
 pub use cold::{ColdLimiter, ColdShare};
 pub use coordinator::Coordinators;
+pub use delay::RetryAfter;
 pub use evacuation::{Evacuations, HallEvent, HallStatus, HallStatuses};
 pub use events::{Event, EventBuffer};
 pub use feed::{ApplyChange, Feed, FeedState};
@@ -46,7 +47,6 @@
 pub use refusals::Refusals;
 pub use relay::{RelayOptions, RelaySelector, Source};
 pub use retry::{WindowedRetryBudget, WindowedRetryOptions};
-pub use retry_after::RetryAfter;
 pub use routes::{Admitted, Denied, RouteTable};
 pub use site::{
     CallerLimits, EngineSpec, Organisation, RequestKind, RouteRule, ServiceSpec, Site,
@@ -57,5 +57,5 @@
     StoreVersion, TargetChange, Unreadable, Watched,
 };
 pub use targets::{ListedTarget, TargetEntry, TargetId, TargetList, TargetListing, TargetState};
-pub use wait_limit::{WaitLimit, WaitLimitOptions};
+pub use wait::{WaitLimit, WaitLimitOptions};
 pub use wire::HeaderNames;
--- a/grebedeck-gateway/src/refusals.rs
+++ b/grebedeck-gateway/src/refusals.rs
@@ -18,7 +18,7 @@
 
 use grebedeck_core::{Moment, ServiceName};
 
-use crate::retry_after::RetryAfter;
+use crate::delay::RetryAfter;
 use crate::targets::{TargetEntry, TargetId};
 
 /// Backoff after the first refusal: some round trips, in which a slot may become free.
--- a/grebedeck-gateway/tests/memory.rs
+++ b/grebedeck-gateway/tests/memory.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use grebedeck_gateway::memory::{MemoryBudget, SMALL_BYTES};
-use grebedeck_gateway::write_timeout::{WriteTimeouts, WriteWait};
+use grebedeck_gateway::stall::{WriteTimeouts, WriteWait};
 use proptest::prelude::*;
 
 const MS: fn(u64) -> Duration = Duration::from_millis;
--- a/grebedeck-gateway/tests/refusals.rs
+++ b/grebedeck-gateway/tests/refusals.rs
@@ -5,10 +5,10 @@
 
 use grebedeck_core::random::SeededSource;
 use grebedeck_core::{Moment, RandomSource};
-use grebedeck_gateway::refusals::{RefusalEffect, Refusals};
-use grebedeck_gateway::retry_after::{
+use grebedeck_gateway::delay::{
     MAX_RETRY_AFTER, UNREADABLE_RETRY_AFTER, parse_retry_after, requested_retry_after,
 };
+use grebedeck_gateway::refusals::{RefusalEffect, Refusals};
 use grebedeck_gateway::wire::{TargetLoad, says_leaving};
 use grebedeck_gateway::{TargetEntry, TargetState};
 use proptest::prelude::*;
--- a/grebedeck-net/src/lib.rs
+++ b/grebedeck-net/src/lib.rs
@@ -6,8 +6,8 @@
 
 #![forbid(unsafe_code)]
 
-pub mod byte_counters;
 pub mod codec;
+pub mod counting;
 pub mod frame;
 pub mod http;
 pub mod link;
--- a/grebedeck-net/src/link.rs
+++ b/grebedeck-net/src/link.rs
@@ -13,7 +13,7 @@
 use h2::client::{ResponseFuture, SendRequest};
 use tokio_util::compat::FuturesAsyncReadCompatExt;
 
-use crate::byte_counters::CountingStream;
+use crate::counting::CountingStream;
 use crate::frame::{FrameReader, FrameWriter, h2_error};
 
 /// Flow-control window of a stream: the most unread data that a peer may send.
--- a/grebedeck-net/src/listen.rs
+++ b/grebedeck-net/src/listen.rs
@@ -10,7 +10,7 @@
 use h2::server::SendResponse;
 use tokio_util::compat::FuturesAsyncReadCompatExt;
 
-use crate::byte_counters::CountingStream;
+use crate::counting::CountingStream;
 use crate::frame::{FrameReader, FrameWriter, h2_error};
 use crate::link::{CONNECTION_WINDOW_BYTES, STREAM_WINDOW_BYTES};
 
--- a/grebedeck/src/agent/service.rs
+++ b/grebedeck/src/agent/service.rs
@@ -6,7 +6,7 @@
 use grebedeck_core::time::unix_ms;
 use grebedeck_core::{AttemptId, Incarnation, Moment};
 use grebedeck_gateway::RetryAfter;
-use grebedeck_gateway::retry_after::requested_retry_after;
+use grebedeck_gateway::delay::requested_retry_after;
 use grebedeck_kernel::log::LineRateLimiter;
 use grebedeck_kernel::{Clock, Counter, Metrics, Service, log};
 use grebedeck_net::http::HttpClient;
--- a/grebedeck/src/gateway/assignment.rs
+++ b/grebedeck/src/gateway/assignment.rs
@@ -15,9 +15,9 @@
 
 use super::hold;
 use super::options::{MIN_SLOT_WAIT, PROBE_INTERVAL, SLOT_POLL_PERIOD};
+use super::queues::Obstacle;
 use super::service::Gateway;
 use super::slot::{self, NoSlot, Slot};
-use super::wait_queues::Obstacle;
 
 /// Assigns slots for as long as requests wait for a service.
 pub async fn serve_queue(gateway: Rc<Gateway>, service: ServiceName) {
--- a/grebedeck/src/gateway/attempt.rs
+++ b/grebedeck/src/gateway/attempt.rs
@@ -6,16 +6,16 @@
 
 use async_std::future::timeout;
 use grebedeck_gateway::answer::MISDIRECTED;
-use grebedeck_gateway::retry_after::requested_retry_after;
+use grebedeck_gateway::delay::requested_retry_after;
 use grebedeck_gateway::wire::TargetLoad;
 use grebedeck_gateway::{TargetEntry, Verdict, judge};
 use grebedeck_http::{BodyDecoder, Connection, Decoded, HttpError, ResponseHead, response_framing};
 
-use super::attempt_history::{AttemptFailure, FailureCause, Refusal};
-use super::open_response::{OpenResponse, SentRequest};
+use super::history::{AttemptFailure, FailureCause, Refusal};
 use super::options::{CONNECT_TIMEOUT, MAX_RESPONSE_HEAD_BYTES, SOCKET_BUFFER_BYTES};
 use super::refusing::refusal_cause;
 use super::request::RoutedRequest;
+use super::response::{OpenResponse, SentRequest};
 use super::service::Gateway;
 use super::slot::Slot;
 use super::trace::Decision;
--- a/grebedeck/src/gateway/buffered.rs
+++ b/grebedeck/src/gateway/buffered.rs
@@ -10,9 +10,9 @@
 use grebedeck_http::{Headers, ResponseHead};
 
 use super::attempt;
-use super::attempt_history::{AttemptFailure, AttemptHistory, FailureCause};
 use super::buffer::Buffer;
 use super::caller::Reuse;
+use super::history::{AttemptFailure, AttemptHistory, FailureCause};
 use super::request::{CallerRequest, RoutedRequest};
 use super::service::Gateway;
 use super::slot::{self, NoSlot, Slot};
--- a/grebedeck/src/gateway/enqueue.rs
+++ b/grebedeck/src/gateway/enqueue.rs
@@ -13,11 +13,11 @@
 
 use super::assignment;
 use super::hold;
+use super::queues::{QueueEntry, QueueState, QueuedRequest};
 use super::request::RoutedRequest;
 use super::service::Gateway;
 use super::slot::{self, NoSlot, Slot};
 use super::trace::Decision;
-use super::wait_queues::{QueueEntry, QueueState, QueuedRequest};
 
 /// Weight of each organisation; the configuration sets none.
 const WEIGHT: u64 = 1;
--- a/grebedeck/src/gateway/health.rs
+++ b/grebedeck/src/gateway/health.rs
@@ -11,7 +11,7 @@
 use grebedeck_kernel::log;
 use grebedeck_routing::LoadReport;
 
-use super::attempt_history::FailureCause;
+use super::history::FailureCause;
 use super::mechanism::Mechanism;
 use super::options::{
     GROUP_REPORT_LIFETIME, OUTAGE_FAILURES, OVERDUE_ESTIMATE, PROBE_INTERVAL, PROCESS_START_TIME,
--- a/grebedeck/src/gateway/refusing.rs
+++ b/grebedeck/src/gateway/refusing.rs
@@ -15,7 +15,7 @@
 use grebedeck_kernel::log;
 use grebedeck_routing::LoadReport;
 
-use super::attempt_history::{FailureCause, Refusal};
+use super::history::{FailureCause, Refusal};
 use super::service::Gateway;
 use crate::settings::millis;
 
--- a/grebedeck/src/gateway/open_response.rs
+++ b/grebedeck/src/gateway/response.rs
@@ -8,8 +8,8 @@
 use grebedeck_http::{BodyDecoder, Connection, HttpError, ResponseHead};
 
 use super::attempt::InFlight;
-use super::attempt_history::FailureCause;
 use super::buffer::Buffer;
+use super::history::FailureCause;
 use super::options::{MAX_BUFFERED_RESPONSE_BYTES, RESPONSE_MEMORY_WAIT};
 use super::request::RoutedRequest;
 use super::service::Gateway;
--- a/grebedeck/src/gateway/service.rs
+++ b/grebedeck/src/gateway/service.rs
@@ -21,14 +21,15 @@
 use grebedeck_routing::{Chooser, CrashCooldown, LoadReport, Quarantine};
 
 use super::Tasks;
-use super::attempt_history::AttemptHistory;
 use super::buffer::SharedMemory;
 use super::counters::Counters;
 use super::halls::OperatorView;
+use super::history::AttemptHistory;
 use super::limits::LimitState;
 use super::mechanism::Mechanism;
 use super::options::{GatewaySettings, MIN_ATTEMPT_TIME};
 use super::pool::ConnectionPool;
+use super::queues::WaitQueues;
 use super::quota::QuotaState;
 use super::refusing::REFUSAL_LINES_PER_S;
 use super::relay::RelayState;
@@ -37,7 +38,6 @@
 use super::stop::StopState;
 use super::suspects::CRASH_LINES_PER_S;
 use super::trace::{Decision, Outcome, TRACES_PER_S, Trace};
-use super::wait_queues::WaitQueues;
 
 /// State of a gateway.
 pub struct Gateway {
--- a/grebedeck/src/gateway/stream.rs
+++ b/grebedeck/src/gateway/stream.rs
@@ -16,16 +16,16 @@
 use grebedeck_http::{Connection, ResponseHead, write_chunk};
 
 use super::attempt;
-use super::attempt_history::AttemptHistory;
 use super::buffer::Buffer;
 use super::buffered::BufferedResponse;
 use super::caller::{Reuse, write_buffered};
-use super::event_timing::EventTiming;
-use super::open_response::OpenResponse;
+use super::history::AttemptHistory;
 use super::options::{MAX_EVENT_BYTES, READ_AHEAD_BYTES};
 use super::request::RoutedRequest;
+use super::response::OpenResponse;
 use super::service::Gateway;
 use super::slot::{self, NoSlot};
+use super::timing::EventTiming;
 use super::trace::{Decision, Outcome};
 use super::writer::{self, WriteOutcome};
 
--- a/grebedeck/src/gateway/trace.rs
+++ b/grebedeck/src/gateway/trace.rs
@@ -15,7 +15,7 @@
 use grebedeck_routing::Fingerprint;
 use grebedeck_routing::fingerprint::to_hex;
 
-use super::attempt_history::AttemptFailure;
+use super::history::AttemptFailure;
 use super::slot::NoSlot;
 use super::writer::WriteOutcome;
 use crate::random::ProcessRandom;
--- a/grebedeck/src/gateway/writer.rs
+++ b/grebedeck/src/gateway/writer.rs
@@ -4,7 +4,7 @@
 
 use async_std::future::timeout;
 use grebedeck_core::Moment;
-use grebedeck_gateway::write_timeout::{WriteTimeouts, WriteWait};
+use grebedeck_gateway::stall::{WriteTimeouts, WriteWait};
 use grebedeck_http::Connection;
 
 use super::service::Gateway;
--- a/grebedeck/src/rank.rs
+++ b/grebedeck/src/rank.rs
@@ -9,6 +9,7 @@
 pub mod balance;
 pub mod calls;
 pub mod counters;
+pub mod delay;
 pub mod dependency;
 pub mod diagnostics;
 pub mod driver;
@@ -16,7 +17,6 @@
 pub mod obstacle;
 pub mod options;
 pub mod planning;
-pub mod retry_after;
 
 use std::rc::Rc;
 
@@ -25,8 +25,8 @@
 use grebedeck_gateway::SiteStore;
 use grebedeck_kernel::log;
 
+use delay::RetryAfterEngine;
 pub use options::RankSettings;
-use retry_after::RetryAfterEngine;
 
 /// Runs a rank process until it receives a stop signal.
 pub async fn run<S: SiteStore, E: RankEngine>(
--- a/grebedeck/src/wire.rs
+++ b/grebedeck/src/wire.rs
@@ -1,7 +1,7 @@
 //! Metrics of the traffic between processes.
 
 use grebedeck_kernel::Metrics;
-use grebedeck_net::byte_counters::{received_bytes, sent_bytes};
+use grebedeck_net::counting::{received_bytes, sent_bytes};
 
 /// Registers the gauges of sent and received bytes.
 pub fn add_metrics(metrics: &Metrics) {
--- a/grebedeck/tests/engine_retry_after.rs
+++ b/grebedeck/tests/engine_retry_after.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use grebedeck::rank::retry_after::RetryAfterEngine;
+use grebedeck::rank::delay::RetryAfterEngine;
 use grebedeck_core::{Error, Expert, Result};
 use grebedeck_experts::engine::PlacementNo;
 use grebedeck_experts::{OrderOutcome, RankAction, RankCounts, RankEngine, RankOrder, RankReport};
--- a/grebedeck/tests/withdrawn.rs
+++ b/grebedeck/tests/withdrawn.rs
@@ -13,8 +13,8 @@
 
 use grebedeck::gateway::Tasks;
 use grebedeck::gateway::attempt::{InFlight, open};
-use grebedeck::gateway::attempt_history::{AttemptHistory, FailureCause, Refusal};
 use grebedeck::gateway::buffer::Buffer;
+use grebedeck::gateway::history::{AttemptHistory, FailureCause, Refusal};
 use grebedeck::gateway::request::{CallerRequest, RoutedRequest};
 use grebedeck::gateway::service::Gateway;
 use grebedeck::gateway::slot::{self, NoSlot, Slot};
